--- a/standins/audit/src/auditor/attempts.rs
+++ b/standins/audit/src/auditor/attempts.rs
@@ -84,7 +84,7 @@
             violations.push((1, "an attempt after the final answer"));
         }
         let effect = self.rules.effect(&call.function);
-        violations.extend(harmful_repeat(call, effect, at).map(|reason| (2, reason)));
+        violations.extend(harmful_retry(call, effect, at).map(|reason| (2, reason)));
         self.report.retries += usize::from(!call.attempts.is_empty());
         call.attempts.push(attempt);
         stream.call_ids = vec![id.clone()];
@@ -164,7 +164,7 @@
 }
 
 /// The reason why another attempt at this time may be harmful, or `None` if it is harmless.
-fn harmful_repeat(call: &Call, effect: Effect, at: i64) -> Option<&'static str> {
+fn harmful_retry(call: &Call, effect: Effect, at: i64) -> Option<&'static str> {
     let first_run = call.attempts.iter().find(|attempt| !attempt.never_ran)?;
     match effect {
         Effect::Unsafe => Some("retry of an unsafe call that may have run"),
--- a/standins/audit/src/rules.rs
+++ b/standins/audit/src/rules.rs
@@ -9,7 +9,7 @@
     Safe,
     /// Workers drop a retry with the same key within this window, microseconds.
     Keyed(i64),
-    /// The effect happens again.
+    /// Each execution repeats the effect.
     Unsafe,
 }
 
@@ -27,7 +27,7 @@
 /// The overload at which a worker fails during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
-    /// Work sent to the worker, as a multiple of its current capacity.
+    /// The worker fails when it is sent more than this multiple of its current capacity.
     pub multiple: f64,
     /// Window over which the work is summed, microseconds.
     pub window: i64,
--- a/standins/worker/src/state/loading.rs
+++ b/standins/worker/src/state/loading.rs
@@ -4,7 +4,7 @@
 
 impl WorkerState {
     /// Requests at least `instances` loaded instances; 0 is a query. Returns the number of loaded instances, or `None` if
-    /// [`WorkerState::take_finished_loads`] returns it later.
+    /// [`WorkerState::take_finished_loads`] returns it later. A request for an unknown function is never answered.
     pub fn request_load(
         &mut self,
         id: LoadId,
