--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -32,7 +32,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tansy_audit::audit_with_history;
-use tansy_audit::versions::{versions as find_contradictions, Observations};
+use tansy_audit::contradictions::{find_contradictions, Observations};
 use tansy_settings::Settings;
 use versions::SettingsVersion;
 
@@ -194,10 +194,10 @@
     let mut claims = operator.claims;
     claims.entry(FIRST_VERSION).or_insert(first.claim());
     let observations = Observations {
-        flip: CHANGING_CLASS_FUNCTION.into(),
-        lost: LOST_ANSWERS_FUNCTION.into(),
-        claims,
-        reserve: MAX_RESERVE_SHARE,
+        class_function: CHANGING_CLASS_FUNCTION.into(),
+        lost_answers_function: LOST_ANSWERS_FUNCTION.into(),
+        settings_by_version: claims,
+        timeout_margin: MAX_RESERVE_SHARE,
     };
     let contradictions = find_contradictions(&entries, &calls, &observations);
     // Failure only leaves temporary files behind.
--- a/programs/scenario/src/agreement/steps.rs
+++ b/programs/scenario/src/agreement/steps.rs
@@ -96,7 +96,7 @@
         let front_ends = 0..self.endpoint_lists.len();
         let marks: Vec<Mark> = front_ends
             .clone()
-            .map(|front| Mark::Returns { front, worker })
+            .map(|front| Mark::DrainEnded { front, worker })
             .collect();
         record_marks(
             &marks,
--- a/programs/scenario/src/agreement/versions.rs
+++ b/programs/scenario/src/agreement/versions.rs
@@ -3,7 +3,7 @@
 use super::options::ScenarioOptions;
 use crate::fleet::voter_list;
 use std::net::SocketAddr;
-use tansy_audit::versions::Claim;
+use tansy_audit::contradictions::ObservedSettings;
 
 const SETTINGS_TEMPLATE: &str = include_str!("settings.cue");
 /// XORed with the seed, so that versions and faults use different random sequences.
@@ -47,8 +47,8 @@
     }
 
     /// The version's observable behaviour, for the audit.
-    pub fn claim(self) -> Claim {
-        Claim {
+    pub fn claim(self) -> ObservedSettings {
+        ObservedSettings {
             deadline: if self.long_deadline {
                 LONG_DEADLINE_US
             } else {
--- a/programs/scenario/src/audit.rs
+++ b/programs/scenario/src/audit.rs
@@ -22,8 +22,10 @@
     record: impl Fn(Mark) -> Result<(), E>,
     action: impl FnOnce() -> Result<(), E>,
 ) -> Result<(), E> {
-    let matching = |allows: bool| {
-        let selected = marks.iter().filter(move |mark| mark.allows() == allows);
+    let matching = |lifts_restriction: bool| {
+        let selected = marks
+            .iter()
+            .filter(move |mark| mark.lifts_restriction() == lifts_restriction);
         selected.cloned()
     };
     matching(true).try_for_each(&record)?;
@@ -42,7 +44,7 @@
     let functions = settings.dispatch.functions.iter().map(function);
     Rules {
         functions: functions.collect::<BTreeMap<_, _>>(),
-        list_read: MAX_LIST_READ_DELAY_US,
+        list_read_delay: MAX_LIST_READ_DELAY_US,
         drain_grace: front.drain_grace,
         slow_start: SlowStart {
             initial_share: front.slow_start_from,
@@ -58,15 +60,15 @@
             per_call: budget.arrival_share,
             period: budget.period,
         }),
-        connect: front.connect_timeout,
-        slack: CLOCK_SLACK_US,
+        connect_time: front.connect_timeout,
+        clock_tolerance: CLOCK_SLACK_US,
     }
 }
 
 /// [`audit_rules`] with more clock slack, for scenarios that run more processes than the machine has cores.
 pub fn oversubscribed_audit_rules(settings: &Settings, cores: f64) -> Rules {
     Rules {
-        slack: OVERSUBSCRIBED_CLOCK_SLACK_US,
+        clock_tolerance: OVERSUBSCRIBED_CLOCK_SLACK_US,
         ..audit_rules(settings, cores)
     }
 }
--- a/programs/scenario/tests/marks.rs
+++ b/programs/scenario/tests/marks.rs
@@ -18,11 +18,11 @@
 #[test]
 fn a_worker_is_marked_as_returned_for_all_before_any_list_changes() {
     let (one, other) = (
-        Mark::Returns {
+        Mark::DrainEnded {
             front: 0,
             worker: 1,
         },
-        Mark::Returns {
+        Mark::DrainEnded {
             front: 1,
             worker: 1,
         },
--- a/standins/worker/src/state/tests.rs
+++ b/standins/worker/src/state/tests.rs
@@ -1,38 +1,38 @@
-//! Admission, loading and cold starts, by hand-made times.
+//! Admission, loading and slow start at given times.
 
 use super::{Admission, CacheStatus, WorkerState};
-use crate::profile::{Function, Profile, WhenAbsent};
+use crate::profile::{Function, MissPolicy, Profile};
 
 fn profile() -> Profile {
     let function = |name: &str, lanes| Function {
         name: name.into(),
         memory_mb: 400.0,
         lanes,
-        load: 100,
-        work: 10,
+        load_time: 100,
+        default_work: 10,
     };
     Profile {
         name: "w".into(),
         functions: vec![function("a", 1), function("b", 2), function("c", 1)],
         memory_mb: 1000.0,
-        idle_life: 1000,
-        loads: 1,
-        queue: 3,
-        when_absent: WhenAbsent::Load,
+        idle_timeout: 1000,
+        max_concurrent_loads: 1,
+        max_waiting_calls: 3,
+        miss_policy: MissPolicy::Load,
         cores: 2.0,
-        cold_from: 0.2,
-        warm_up: 10_000,
-        fall_multiple: 2.0,
-        fall_after: 1_000,
+        slow_start_from: 0.2,
+        slow_start_window: 10_000,
+        overload_multiple: 2.0,
+        overload_window: 1_000,
     }
 }
 
 #[test]
-fn a_lane_runs_one_call_and_the_rest_wait_in_order() {
+fn calls_wait_in_order_for_a_free_lane() {
     let mut worker = WorkerState::new(profile(), 0, true);
     assert_eq!(
         worker.admit(1, "a", 10, 0),
-        Admission::Wait(CacheStatus::BeganLoad)
+        Admission::Wait(CacheStatus::StartedLoad)
     );
     assert_eq!(
         worker.admit(2, "a", 10, 5),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn idle_instances_make_room_and_busy_ones_do_not() {
+fn idle_instances_are_evicted_and_busy_ones_are_not() {
     let mut worker = WorkerState::new(profile(), 0, true);
     assert_eq!(worker.request_load(7, "a", 1, 0), None);
     assert_eq!(worker.request_load(8, "b", 1, 0), None);
@@ -78,18 +78,19 @@
 }
 
 #[test]
-fn a_cold_worker_falls_when_pushed_and_a_warm_one_does_not() {
-    // At 1,000 us of 10,000 it has 28% of two cores: 560 us of work in 1,000 us, 1,120 at twice that.
-    for (work, falls) in [(100, false), (140, true)] {
+fn a_cold_worker_fails_under_overload_and_a_warm_one_does_not() {
+    // 1,000 us into its slow start of 10,000 us the worker has 28% of two cores, 560 us of work in 1,000 us. It fails above twice
+    // that, 1,120 us.
+    for (work, fails) in [(100, false), (140, true)] {
         let mut worker = WorkerState::new(profile(), 0, false);
         for call in 0..11 {
             worker.admit(call, "a", work, call as i64 * 100);
         }
-        assert_eq!(worker.fallen(), falls, "{work}");
+        assert_eq!(worker.failed_under_overload(), fails, "{work}");
     }
     let mut worker = WorkerState::new(profile(), 0, true);
     for call in 0..11 {
         worker.admit(call, "a", 1_000, call as i64 * 100);
     }
-    assert!(!worker.fallen());
+    assert!(!worker.failed_under_overload());
 }
