--- a/benches/cost/build.rs
+++ b/benches/cost/build.rs
@@ -1,4 +1,4 @@
-//! Generates the pass-through proxy's service from the project's .proto.
+//! Generates the gRPC service of the pass-through proxy from `inference.proto`.
 
 const PROTO_FOLDER: &str = "../../protocol/inference/proto";
 
--- a/benches/cost/src/arguments.rs
+++ b/benches/cost/src/arguments.rs
@@ -1,84 +1,91 @@
-//! The command line.
+//! Command-line arguments.
 
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What the gateway costs beside a direct call and a plain proxy.
+/// Compares the gateway with direct calls and a pass-through proxy.
 #[derive(Parser)]
 pub struct Arguments {
     #[command(subcommand)]
-    pub role: Option<Role>,
-    /// The gateway's program.
+    pub command: Option<Command>,
+    /// Path of the gateway executable.
     #[arg(long, default_value = "target/release/tansy-gateway")]
     pub gateway: PathBuf,
-    /// Seconds of each measurement.
+    /// Duration of each measurement, in seconds.
     #[arg(long, default_value_t = 5)]
     pub seconds: u64,
-    /// Calls open at once when calls a second are measured.
+    /// Concurrent calls while throughput is measured.
     #[arg(long, default_value_t = 256)]
     pub open: usize,
-    /// Calls a second when latency is measured.
+    /// Calls per second while latency is measured.
     #[arg(long, default_value_t = 1400)]
     pub rate: u64,
-    /// Calls held when memory is measured.
+    /// Calls kept open while memory is measured.
     #[arg(long, default_value_t = 10_000)]
     pub held: usize,
 }
 
 impl Arguments {
-    /// The time of each measurement.
-    pub fn span(&self) -> Duration {
+    /// Duration of each measurement.
+    pub fn duration(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 }
 
-/// What this process does, if it is not the comparison.
+/// What this process runs instead of the comparison.
 #[derive(Subcommand)]
-pub enum Role {
-    /// A worker that answers at once, or not at all.
+pub enum Command {
+    /// Run a worker that answers immediately, after a delay, or never.
     Worker {
+        /// Never answer calls.
         #[arg(long)]
         silent: bool,
-        /// Milliseconds of each answer.
+        /// Delay before each answer, in milliseconds.
         #[arg(long, default_value_t = 0)]
         delay: u64,
-        /// Ports: so many workers in one process.
+        /// Number of ports to serve, each acting as one worker.
         #[arg(long, default_value_t = 1)]
         ports: usize,
     },
-    /// Cost and memory of a call after ever more calls.
+    /// Measure CPU time per call and memory as the number of served calls grows.
     Growth {
+        /// Calls to serve in total.
         #[arg(long, default_value_t = 2_000_000)]
         calls: u64,
     },
-    /// Cost of a call by calls that wait, functions and workers.
+    /// Measure CPU time per call by number of queued calls, functions and workers.
     Waiting,
-    /// Latency while many clients have sent half a request each.
+    /// Measure latency while many clients have sent an incomplete request.
     Slow {
+        /// Number of slow clients.
         #[arg(long, default_value_t = 10_000)]
         clients: usize,
     },
-    /// What membership of a fleet costs a call, and its memory, beside the same gateway without.
+    /// Compare a gateway in a fleet with a standalone gateway: latency, memory and idle CPU.
     Fleet {
-        /// Front ends of the fleet, the measured one and the voter among them.
+        /// Front ends in the fleet, including the measured one and the voter.
         #[arg(long, default_value_t = 20)]
         members: usize,
-        /// Measurements of each, in turn.
+        /// Measurements of each gateway.
         #[arg(long, default_value_t = 5)]
         rounds: usize,
     },
-    /// Only the load, on a gRPC port that serves already.
+    /// Put load on a gRPC server that is already running.
     Load {
+        /// Address of the server.
         target: SocketAddr,
-        /// Calls open at once.
+        /// Concurrent calls.
         #[arg(long, default_value_t = 256)]
         open: usize,
-        /// For so long.
+        /// Duration of the load, in seconds.
         #[arg(long, default_value_t = 1)]
         seconds: u64,
     },
-    /// The plain proxy.
-    Proxy { workers: Vec<SocketAddr> },
+    /// Run the pass-through proxy.
+    Proxy {
+        /// Addresses of the workers.
+        workers: Vec<SocketAddr>,
+    },
 }
--- a/benches/cost/src/comparison.rs
+++ b/benches/cost/src/comparison.rs
@@ -1,4 +1,4 @@
-//! The gateway beside a direct call and the plain proxy: calls a second, CPU, latency, and memory of held calls.
+//! Compares direct calls, the gateway and the pass-through proxy, and measures the memory of calls open at the gateway.
 
 use crate::arguments::Arguments;
 use crate::error::{system_error, BenchError};
@@ -8,20 +8,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The load that warms up a path.
+/// Duration of the warm-up load on each path.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// The figures of a path.
+/// Throughput and latency of a path.
 struct PathCost {
     calls_per_second: f64,
     p50_micros: f64,
     p99_micros: f64,
 }
 
-/// Measures.
+/// Runs both measurements.
 pub fn run(arguments: &Arguments) -> Result<(), BenchError> {
     compare_paths(arguments)?;
-    measure_held_calls(arguments)
+    measure_open_call_memory(arguments)
 }
 
 fn compare_paths(arguments: &Arguments) -> Result<(), BenchError> {
@@ -38,7 +38,8 @@
 }
 
 fn print_header(arguments: &Arguments) -> Result<(), BenchError> {
-    let cores = std::thread::available_parallelism().map_err(system_error("number of cores"))?;
+    let cores = std::thread::available_parallelism()
+        .map_err(system_error("reading the number of cores"))?;
     println!("cores: {cores}");
     println!(
         "| path | calls/s, {} open | CPU us a call | p50 us at {}/s | p99 us | failed |",
@@ -56,31 +57,31 @@
     measure_path(arguments, name, process.address(), Some(process))
 }
 
-/// Measures one path, and prints its row. `process` is what is on the path, if anything.
+/// Measures one path and prints its row. `process` is the intermediary on the path, if any.
 fn measure_path(
     arguments: &Arguments,
     name: &str,
     target: SocketAddr,
     process: Option<&MeasuredProcess>,
 ) -> Result<PathCost, BenchError> {
-    let closed = Load::closed(arguments.open, arguments.span());
-    load::run(target, closed.for_span(WARM_UP))?;
+    let closed = Load::closed(arguments.open, arguments.duration());
+    load::run(target, closed.with_duration(WARM_UP))?;
     let cpu_before = process.map_or(0.0, MeasuredProcess::cpu_seconds);
-    let full = load::run(target, closed)?;
+    let saturated = load::run(target, closed)?;
     let cpu_seconds = process.map_or(0.0, MeasuredProcess::cpu_seconds) - cpu_before;
-    let paced = load::run(target, Load::at_rate(arguments.rate, arguments.span()))?;
+    let paced = load::run(target, Load::at_rate(arguments.rate, arguments.duration()))?;
     let cost = PathCost {
-        calls_per_second: full.calls_per_second(),
+        calls_per_second: saturated.calls_per_second(),
         p50_micros: paced.latency_micros(0.5),
         p99_micros: paced.latency_micros(0.99),
     };
     println!(
         "| {name} | {:.0} | {:.1} | {:.0} | {:.0} | {} |",
         cost.calls_per_second,
-        cpu_seconds * 1e6 / full.served.max(1) as f64,
+        cpu_seconds * 1e6 / saturated.served.max(1) as f64,
         cost.p50_micros,
         cost.p99_micros,
-        full.failed + paced.failed
+        saturated.failed + paced.failed
     );
     Ok(cost)
 }
@@ -108,12 +109,12 @@
     );
 }
 
-fn measure_held_calls(arguments: &Arguments) -> Result<(), BenchError> {
+fn measure_open_call_memory(arguments: &Arguments) -> Result<(), BenchError> {
     let workers = programs::worker_pair(&["--silent"])?;
     let addresses = workers.each_ref().map(MeasuredProcess::address);
     let gateway = programs::gateway(arguments, &addresses)?;
     let before = gateway.memory_mb();
-    let after = load::hold(gateway.address(), arguments.held, || gateway.memory_mb())?;
+    let after = load::hold_calls(gateway.address(), arguments.held, || gateway.memory_mb())?;
     println!(
         "memory: {before:.1} MB idle, {after:.1} MB with {} calls held: {:.1} KB a call",
         arguments.held,
--- a/benches/cost/src/error.rs
+++ b/benches/cost/src/error.rs
@@ -1,63 +1,63 @@
-//! What ends a measurement early.
+//! Errors that abort a measurement.
 
 use std::io;
 use std::net::SocketAddr;
 use tansy_test_support::process::ProcessError;
 
-/// Why a measurement ended without its figures.
+/// Why a measurement produced no results.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// A call of the system failed.
+    /// A system call failed.
     #[error("{action}: {source}")]
     System {
-        /// What was attempted.
+        /// The operation that failed.
         action: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A program did not start, or does not say where it serves.
+    /// A program did not start, or did not print its address.
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// The event loop failed.
     #[error("event loop: {0}")]
     EventLoop(#[from] calloop::Error),
-    /// The bounds of the latencies' histogram make no sense.
-    #[error("histogram of latencies: {0}")]
+    /// The latency histogram has invalid bounds.
+    #[error("latency histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// The proxy can't reach a worker.
-    #[error("worker {worker}: {source}")]
+    /// The proxy could not connect to a worker.
+    #[error("proxy could not connect to worker {worker}: {source}")]
     ProxyChannel {
         /// The worker's address.
         worker: SocketAddr,
-        /// The transport's error.
+        /// The transport error.
         source: tonic::transport::Error,
     },
     /// The proxy's server failed.
-    #[error("proxy: {0}")]
+    #[error("proxy server: {0}")]
     ProxyServer(tonic::transport::Error),
-    /// No call is served through the fleet in time.
-    #[error("the fleet did not form")]
+    /// The measured front end served no call within the time limit.
+    #[error("the measured front end served no call within the time limit")]
     FleetNotReady,
-    /// The process may not have a descriptor for each client.
-    #[error("{clients} clients need as many descriptors; {allowed} are allowed")]
+    /// The limit of file descriptors is too low for the number of clients.
+    #[error("{clients} clients need one file descriptor each, but the limit is {allowed}")]
     TooFewDescriptors {
-        /// The clients that are wanted.
+        /// Requested number of clients.
         clients: usize,
-        /// The descriptors that are allowed.
+        /// File descriptors that the process may open.
         allowed: u64,
     },
-    /// A load process did not print its calls a second first.
-    #[error("the load printed {output:?}; want its calls a second first")]
+    /// The output of a load process does not begin with its calls per second.
+    #[error("the load process printed {output:?}, which does not begin with calls per second")]
     LoadOutput {
-        /// What it printed.
+        /// The standard output of the load process.
         output: String,
     },
-    /// The thread of the clients panicked.
-    #[error("the clients' thread ended early")]
+    /// The client thread panicked.
+    #[error("the client thread panicked")]
     ClientThread,
 }
 
-/// A call of the system that failed, with what was attempted.
+/// Converts an I/O error into a [`BenchError::System`] that names the failed operation.
 pub fn system_error(action: impl Into<String>) -> impl FnOnce(io::Error) -> BenchError {
     let action = action.into();
     move |source| BenchError::System { action, source }
--- a/benches/cost/src/growth.rs
+++ b/benches/cost/src/growth.rs
@@ -1,4 +1,4 @@
-//! Cost and memory of a call after ever more calls.
+//! CPU time per call and memory of the gateway as the number of served calls grows.
 
 use crate::arguments::Arguments;
 use crate::error::{system_error, BenchError};
@@ -6,10 +6,10 @@
 use crate::process::MeasuredProcess;
 use crate::programs;
 
-/// Calls until the first row; each further row comes after twice the calls of the last.
+/// Calls before the first row. Each further row is printed when the number of calls has doubled.
 const FIRST_ROW_CALLS: u64 = 20_000;
 
-/// Measures, in stretches of a second.
+/// Runs load in intervals of one second, and prints the medians since the previous row.
 pub fn run(arguments: &Arguments, calls: u64) -> Result<(), BenchError> {
     let workers = programs::worker_pair(&[])?;
     let addresses = workers.each_ref().map(MeasuredProcess::address);
@@ -37,12 +37,13 @@
     Ok(())
 }
 
-/// Puts load on the gateway for a second, from a process of its own whose connections end with it: the calls served.
+/// Puts load on the gateway for one second and returns the calls served. A separate process sends the load, so that its
+/// connections are closed afterwards.
 fn run_load_process(gateway: &MeasuredProcess, open: usize) -> Result<u64, BenchError> {
-    let output = programs::own_role("load")?
+    let output = programs::own_command("load")?
         .args([&gateway.address().to_string(), "--open", &open.to_string()])
         .output()
-        .map_err(system_error("the load process"))?;
+        .map_err(system_error("running the load process"))?;
     let output = String::from_utf8_lossy(&output.stdout).into_owned();
     output
         .split_whitespace()
--- a/benches/cost/src/load/call.rs
+++ b/benches/cost/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call: its request, and the exchange on a connection.
+//! The request and response messages, and one call on a connection.
 
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, Uri};
@@ -10,12 +10,11 @@
 use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::Link;
 
-/// Bytes of an answer, at most.
 const MAX_RESPONSE_BYTES: usize = 1 << 22;
-/// Numbers of the tensor that a request and its answer carry.
-const TENSOR_NUMBERS: u32 = 64;
+/// Elements of the tensor in each request and response.
+const TENSOR_ELEMENTS: u32 = 64;
 
-/// The answer to each call: one tensor of 64 numbers.
+/// The response to each call: one tensor of [`TENSOR_ELEMENTS`] numbers.
 pub fn response() -> pb::ModelInferResponse {
     pb::ModelInferResponse {
         model_name: "echo".into(),
@@ -24,7 +23,7 @@
         outputs: vec![pb::model_infer_response::InferOutputTensor {
             name: "y".into(),
             datatype: "FP32".into(),
-            shape: vec![1, i64::from(TENSOR_NUMBERS)],
+            shape: vec![1, i64::from(TENSOR_ELEMENTS)],
             ..Default::default()
         }],
         raw_output_contents: vec![tensor_bytes()],
@@ -32,12 +31,12 @@
     }
 }
 
-/// The framed request of a call of this function.
+/// The gRPC-framed request that calls `function`.
 pub fn framed_request(function: String) -> Bytes {
     let input = pb::model_infer_request::InferInputTensor {
         name: "x".into(),
         datatype: "FP32".into(),
-        shape: vec![1, i64::from(TENSOR_NUMBERS)],
+        shape: vec![1, i64::from(TENSOR_ELEMENTS)],
         ..Default::default()
     };
     let message = pb::ModelInferRequest {
@@ -51,12 +50,12 @@
 }
 
 fn tensor_bytes<T: From<Vec<u8>>>() -> T {
-    let numbers = (0..TENSOR_NUMBERS).map(|number| number as f32);
+    let numbers = (0..TENSOR_ELEMENTS).map(|number| number as f32);
     let bytes: Vec<u8> = numbers.flat_map(f32::to_le_bytes).collect();
     bytes.into()
 }
 
-/// Sends a call, and waits for its end: whether it was served.
+/// Sends a call, waits for its end and returns whether it was served.
 pub async fn call(link: &Rc<Link>, body: Bytes) -> bool {
     let Ok(mut connection) = link.connection().await else {
         return false;
--- a/benches/cost/src/load/clients.rs
+++ b/benches/cost/src/load/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a load, on an event loop of their own.
+//! The clients of a load, run on their own event loop.
 
 use super::call::{call, framed_request};
 use super::{Load, Measurement};
@@ -17,31 +17,36 @@
 
 /// Connections that the calls are spread over.
 const CONNECTIONS: usize = 8;
-/// A step that goes through all functions, whatever the number of clients.
+/// Stride through the functions: a prime, so that each client calls all of them.
 const FUNCTION_STEP: usize = 7919;
-/// Latencies that the histogram distinguishes, nanoseconds, and its significant digits.
+/// Lowest and highest latency that the histogram distinguishes, in nanoseconds.
 const LATENCY_BOUNDS: (u64, u64) = (1_000, 60_000_000_000);
+/// Significant digits of the histogram.
 const LATENCY_DIGITS: u8 = 3;
-/// For so long after its time a closed load waits for the calls that are open.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
-/// For so long calls are held before a figure is read.
-const HOLD: Duration = Duration::from_secs(3);
+/// Time after the end of a closed loop to wait for open calls.
+const DRAIN_PERIOD: Duration = Duration::from_millis(200);
+/// Time to keep calls open before [`hold_calls`] reads its figure.
+const HOLD_PERIOD: Duration = Duration::from_secs(3);
 
-/// Calls served by all closed loads of this process so far.
+/// Calls served so far by all closed loops of this process.
 pub static SERVED_CALLS: AtomicU64 = AtomicU64::new(0);
 
-/// Puts a load on a port, and measures it.
+/// Puts a load on the server at `target` and returns the results.
 pub fn run(target: SocketAddr, load: Load) -> Result<Measurement, BenchError> {
     let mut clients = Clients::new(target, &function_names(load.functions))?;
     match load.rate {
         None => clients.run_closed(load)?,
         Some(rate) => clients.run_at_rate(load, rate)?,
     }
-    Ok(clients.results.measurement(load.span))
+    Ok(clients.results.measurement(load.duration))
 }
 
-/// Starts so many calls that are not answered, and reads a figure while they are held.
-pub fn hold(target: SocketAddr, calls: usize, read: impl Fn() -> f64) -> Result<f64, BenchError> {
+/// Opens `calls` calls to a server that does not answer, and calls `read` while they are open.
+pub fn hold_calls(
+    target: SocketAddr,
+    calls: usize,
+    read: impl Fn() -> f64,
+) -> Result<f64, BenchError> {
     let mut clients = Clients::new(target, &function_names(1))?;
     for index in 0..calls {
         let (link, body) = (clients.link(index), clients.body(index));
@@ -50,7 +55,7 @@
         });
     }
     let start = Instant::now();
-    while start.elapsed() < HOLD {
+    while start.elapsed() < HOLD_PERIOD {
         clients.dispatch(Duration::from_millis(50))?;
     }
     Ok(read())
@@ -93,24 +98,24 @@
         Ok(self.event_loop.dispatch(Some(wait), &mut ())?)
     }
 
-    /// Keeps so many calls open: each client sends its next call once the last one ended.
+    /// Keeps `load.open` calls open: each client sends its next call when the previous one has ended.
     fn run_closed(&mut self, load: Load) -> Result<(), BenchError> {
         let start = Instant::now();
         for index in 0..load.open {
-            self.spawn_client(index, start, load.span);
+            self.spawn_client(index, start, load.duration);
         }
-        while start.elapsed() < load.span + LAST_ANSWERS {
+        while start.elapsed() < load.duration + DRAIN_PERIOD {
             self.dispatch(Duration::from_millis(10))?;
         }
         Ok(())
     }
 
-    fn spawn_client(&self, index: usize, start: Instant, span: Duration) {
+    fn spawn_client(&self, index: usize, start: Instant, duration: Duration) {
         let (results, link) = (self.results.clone(), self.link(index));
         let bodies = self.bodies.clone();
         let mut next = index;
         self.spawner.spawn(async move {
-            while start.elapsed() < span {
+            while start.elapsed() < duration {
                 let due = Instant::now();
                 next = next.wrapping_add(FUNCTION_STEP);
                 let served = call(&link, bodies[next % bodies.len()].clone()).await;
@@ -122,13 +127,13 @@
         });
     }
 
-    /// Starts so many calls a second, and waits for the last of them.
+    /// Starts `rate` calls per second, and waits for the last of them up to twice the duration.
     fn run_at_rate(&mut self, load: Load, rate: u64) -> Result<(), BenchError> {
         let start = Instant::now();
-        let total = rate * load.span.as_secs();
+        let total = rate * load.duration.as_secs();
         let mut sent = 0u64;
-        while sent < total || self.results.open.get() > 0 && start.elapsed() < load.span * 2 {
-            // A call counts from the moment at which it was due, not from when it could be sent.
+        while sent < total || self.results.open.get() > 0 && start.elapsed() < load.duration * 2 {
+            // Latency counts from the scheduled time, so that delayed sends are included (no coordinated omission).
             let due = start + Duration::from_nanos(1_000_000_000 * sent / rate);
             let may_open = self.results.open.get() < load.open;
             if sent < total && due <= Instant::now() && may_open {
@@ -158,19 +163,19 @@
     }
 }
 
-/// What came of the calls so far.
+/// Outcomes and latencies of the calls so far.
 struct Results {
     served: Cell<u64>,
     failed: Cell<u64>,
-    /// Calls of a load at a rate that have not ended.
+    /// Open calls of a fixed-rate load; not counted in a closed loop.
     open: Cell<usize>,
     latencies: RefCell<Histogram<u64>>,
 }
 
 impl Results {
     fn new() -> Result<Results, BenchError> {
-        let (least, most) = LATENCY_BOUNDS;
-        let latencies = Histogram::new_with_bounds(least, most, LATENCY_DIGITS)?;
+        let (lowest, highest) = LATENCY_BOUNDS;
+        let latencies = Histogram::new_with_bounds(lowest, highest, LATENCY_DIGITS)?;
         Ok(Results {
             served: Cell::new(0),
             failed: Cell::new(0),
@@ -189,11 +194,11 @@
         self.latencies.borrow_mut().saturating_record(latency);
     }
 
-    fn measurement(&self, span: Duration) -> Measurement {
+    fn measurement(&self, duration: Duration) -> Measurement {
         Measurement {
             served: self.served.get(),
             failed: self.failed.get(),
-            span,
+            duration,
             latencies: self.latencies.borrow().clone(),
         }
     }
--- a/benches/cost/src/main.rs
+++ b/benches/cost/src/main.rs
@@ -1,12 +1,13 @@
-//! Measures, in one run on one machine: calls a second, added latency, CPU a call and memory of held calls, for a
-//! worker reached directly, through `tansy-gateway`, and through a plain pass-through proxy written with tonic.
+//! Compares three paths to a worker: a direct connection, `tansy-gateway`, and a pass-through proxy written with tonic.
+//! Reports calls per second, added latency, CPU time per call and the memory used by open calls.
 //!
-//! Every part is a process of its own; the gateway and the proxy have one thread each. The worker answers at once. It
-//! is for comparisons within one run; it judges nothing, and figures of different machines are not comparable.
+//! Workers, gateway and proxy run as separate processes on one machine; the gateway and the proxy have one thread each,
+//! and the worker answers immediately. Compare figures within one run only: those of different machines are not
+//! comparable. The program sets no thresholds.
 //!
 //! - [`comparison`], [`growth`], [`waiting`], [`slow_clients`], [`fleet`]: the measurements.
-//! - [`load`]: the load and its latencies. [`process`], [`programs`]: the processes that are measured.
-//! - [`worker`], [`proxy`]: what the gateway is measured with, as roles of this program.
+//! - [`load`]: load generator and latency histogram. [`process`], [`programs`]: start and observe the measured processes.
+//! - [`worker`], [`proxy`]: the worker and the reference proxy, run as subcommands of this program.
 
 mod arguments;
 mod comparison;
@@ -21,7 +22,7 @@
 mod waiting;
 mod worker;
 
-use arguments::{Arguments, Role};
+use arguments::{Arguments, Command};
 use clap::Parser;
 use error::BenchError;
 use load::Load;
@@ -40,23 +41,23 @@
 }
 
 fn run(arguments: &Arguments) -> Result<(), BenchError> {
-    match &arguments.role {
+    match &arguments.command {
         None => comparison::run(arguments),
-        Some(Role::Worker {
+        Some(Command::Worker {
             silent,
             delay,
             ports,
         }) => worker::run(*silent, Duration::from_millis(*delay), *ports.max(&1)),
-        Some(Role::Growth { calls }) => growth::run(arguments, *calls),
-        Some(Role::Waiting) => waiting::run(arguments),
-        Some(Role::Slow { clients }) => slow_clients::run(arguments, *clients),
-        Some(Role::Fleet { members, rounds }) => fleet::run(arguments, *members, *rounds),
-        Some(Role::Load {
+        Some(Command::Growth { calls }) => growth::run(arguments, *calls),
+        Some(Command::Waiting) => waiting::run(arguments),
+        Some(Command::Slow { clients }) => slow_clients::run(arguments, *clients),
+        Some(Command::Fleet { members, rounds }) => fleet::run(arguments, *members, *rounds),
+        Some(Command::Load {
             target,
             open,
             seconds,
         }) => load_only(*target, *open, *seconds),
-        Some(Role::Proxy { workers }) => proxy::run(workers),
+        Some(Command::Proxy { workers }) => proxy::run(workers),
     }
 }
 
--- a/benches/cost/src/process.rs
+++ b/benches/cost/src/process.rs
@@ -1,35 +1,35 @@
-//! Processes that are measured: their address, CPU time and memory.
+//! Server processes under measurement: address, CPU time and resident memory.
 
 use crate::error::BenchError;
 use std::net::SocketAddr;
 use std::process::Command;
 use tansy_test_support::process::ServerProcess;
 
-/// Ticks of CPU time a second in `/proc` (proc(5), USER_HZ).
+/// Unit of CPU times in `/proc`: clock ticks per second (proc(5), `USER_HZ`).
 const TICKS_PER_SECOND: f64 = 100.0;
-/// The place of `utime` among the fields of `/proc/PID/stat` after the program's name; `stime` follows.
+/// Index of `utime` among the fields of `/proc/PID/stat` that follow the program name; `stime` is next.
 const USER_TICKS_FIELD: usize = 11;
 
-/// A process that serves gRPC, ended with its owner.
+/// A gRPC server process, killed on drop.
 pub struct MeasuredProcess {
     process: ServerProcess,
     address: SocketAddr,
 }
 
 impl MeasuredProcess {
-    /// Starts it, and reads the address from its line `ready grpc=ADDRESS ...`.
+    /// Starts the process and reads its address from the line `ready grpc=ADDRESS ...`.
     pub fn start(command: &mut Command) -> Result<MeasuredProcess, BenchError> {
         let process = ServerProcess::start(command)?;
         let address = process.address("grpc")?;
         Ok(MeasuredProcess { process, address })
     }
 
-    /// Where it serves gRPC.
+    /// The gRPC address of the process.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// All addresses of a worker process with several ports.
+    /// All addresses of a worker process, read from `all=` in its `ready` line.
     pub fn all_addresses(&self) -> Vec<SocketAddr> {
         let words = self.process.ready_line().split_whitespace();
         let lists = words.filter_map(|word| word.strip_prefix("all="));
@@ -39,10 +39,10 @@
             .collect()
     }
 
-    /// CPU time used so far, seconds.
+    /// CPU time used so far, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         let stat = self.proc_file("stat");
-        // The program's name, in parentheses, may contain blanks.
+        // The program name, in parentheses, may contain spaces.
         let after_name = stat.rsplit(')').next().unwrap_or("");
         let ticks: f64 = after_name
             .split_whitespace()
@@ -53,7 +53,7 @@
         ticks / TICKS_PER_SECOND
     }
 
-    /// Resident memory, MB.
+    /// Resident memory, in MB.
     pub fn memory_mb(&self) -> f64 {
         let status = self.proc_file("status");
         let kilobytes = status
--- a/benches/cost/src/programs.rs
+++ b/benches/cost/src/programs.rs
@@ -1,4 +1,4 @@
-//! The programs that are measured, with their settings.
+//! Starts workers, proxies and gateways, and writes gateway settings.
 
 use crate::arguments::Arguments;
 use crate::error::{system_error, BenchError};
@@ -7,34 +7,35 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Calls that one instance of `echo` runs at a time: more than are ever open.
+/// Lanes per instance of `echo`: more than any measurement has open calls, so that calls never queue.
 pub const UNLIMITED_LANES: usize = 4096;
 
-/// A command that starts this program in a role.
-pub fn own_role(role: &str) -> Result<Command, BenchError> {
-    let program = std::env::current_exe().map_err(system_error("the path of this program"))?;
+/// Returns a command that runs a subcommand of this program.
+pub fn own_command(subcommand: &str) -> Result<Command, BenchError> {
+    let program =
+        std::env::current_exe().map_err(system_error("finding the path of this program"))?;
     let mut command = Command::new(program);
-    command.arg(role);
+    command.arg(subcommand);
     Ok(command)
 }
 
 /// Starts a worker process.
 pub fn worker(arguments: &[&str]) -> Result<MeasuredProcess, BenchError> {
-    MeasuredProcess::start(own_role("worker")?.args(arguments))
+    MeasuredProcess::start(own_command("worker")?.args(arguments))
 }
 
-/// Starts two worker processes of one port each.
+/// Starts two worker processes with one port each.
 pub fn worker_pair(arguments: &[&str]) -> Result<[MeasuredProcess; 2], BenchError> {
     Ok([worker(arguments)?, worker(arguments)?])
 }
 
-/// Starts the plain proxy before these workers.
+/// Starts a pass-through proxy for these workers.
 pub fn proxy(workers: &[SocketAddr]) -> Result<MeasuredProcess, BenchError> {
     let addresses = workers.iter().map(SocketAddr::to_string);
-    MeasuredProcess::start(own_role("proxy")?.args(addresses))
+    MeasuredProcess::start(own_command("proxy")?.args(addresses))
 }
 
-/// Starts a gateway before these workers, with the one function `echo`.
+/// Starts a gateway for these workers whose only function is `echo`.
 pub fn gateway(
     arguments: &Arguments,
     workers: &[SocketAddr],
@@ -42,7 +43,7 @@
     gateway_with_functions(arguments, workers, 1, UNLIMITED_LANES)
 }
 
-/// Starts a gateway before these workers, with so many functions of so many lanes.
+/// Starts a gateway for these workers with `functions` functions of `lanes` lanes each.
 pub fn gateway_with_functions(
     arguments: &Arguments,
     workers: &[SocketAddr],
@@ -58,26 +59,26 @@
     let path = std::env::temp_dir().join(format!("tansy-bench-{}.cue", std::process::id()));
     write_file(&path, &settings)?;
     let process = gateway_with_settings(arguments, &path, "warn", &[]);
-    // What is left in the folder for temporary files does no harm.
+    // A leftover temporary file is harmless.
     let _ = std::fs::remove_file(path);
     process
 }
 
-/// Starts a gateway with a file of settings and further arguments.
+/// Starts a gateway with a settings file and additional arguments.
 pub fn gateway_with_settings(
     arguments: &Arguments,
     settings: &Path,
     log_level: &str,
-    more: &[String],
+    extra_arguments: &[String],
 ) -> Result<MeasuredProcess, BenchError> {
     let mut command = Command::new(&arguments.gateway);
     command.args(["--listen", "127.0.0.1:0", "--http", "127.0.0.1:0"]);
     command.args(["--log", log_level, "--settings"]);
-    command.arg(settings).args(more);
+    command.arg(settings).args(extra_arguments);
     MeasuredProcess::start(&mut command)
 }
 
-/// The settings of a gateway before these workers; `front` holds the fields of its section `front`.
+/// Returns gateway settings for these workers; `front` holds the fields of the section `front`.
 pub fn settings_text(
     functions: &[String],
     lanes: usize,
@@ -102,7 +103,7 @@
     )
 }
 
-/// The names of so many functions: `echo` if it is one, or `f0`, `f1` and so on.
+/// Returns `count` function names: `echo` for a single function, otherwise `f0`, `f1` and so on.
 pub fn function_names(count: usize) -> Vec<String> {
     if count == 1 {
         return vec!["echo".to_string()];
@@ -110,7 +111,7 @@
     (0..count).map(|index| format!("f{index}")).collect()
 }
 
-/// Writes a file of settings.
+/// Writes a text file, such as a settings file.
 pub fn write_file(path: &Path, text: &str) -> Result<(), BenchError> {
     std::fs::write(path, text).map_err(system_error(path.display().to_string()))
 }
--- a/benches/cost/src/slow_clients.rs
+++ b/benches/cost/src/slow_clients.rs
@@ -1,4 +1,4 @@
-//! Latency at a rate, with and without many clients that have sent half a request.
+//! Latency at a fixed rate, with and without many clients that have sent an incomplete request.
 
 use crate::arguments::Arguments;
 use crate::error::{system_error, BenchError};
@@ -9,31 +9,33 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Descriptors beside those of the slow clients: wished for, and needed.
+/// File descriptors to request in addition to those of the slow clients.
 const SPARE_DESCRIPTORS: u64 = 1_000;
-const LEAST_SPARE_DESCRIPTORS: u64 = 500;
-/// The load before a measurement, until all connections are accepted.
+/// Additional file descriptors below which the measurement is refused.
+const MIN_SPARE_DESCRIPTORS: u64 = 500;
+/// Duration of the warm-up load, in which the gateway accepts all connections.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// Types of HTTP/2 frames (RFC 9113, section 6).
+/// HTTP/2 frame types (RFC 9113, section 6).
 const DATA: u8 = 0;
 const HEADERS: u8 = 1;
 const SETTINGS: u8 = 4;
-/// The flag of a HEADERS frame that ends the headers; the stream goes on.
+/// HEADERS flag: the header block is complete. Without `END_STREAM` the stream stays open.
 const END_HEADERS: u8 = 4;
-/// The first stream of a client.
+/// Stream identifier of the client's first request.
 const FIRST_STREAM: u8 = 1;
-/// The prefix of a gRPC message of 20 bytes, and as many bytes of it as are sent.
+/// Length prefix of a gRPC message of 20 bytes.
 const MESSAGE_PREFIX: [u8; 5] = [0, 0, 0, 0, 20];
+/// The part of that message that is sent.
 const HALF_MESSAGE: [u8; 10] = [0; 10];
 
-/// Measures.
+/// Prints the latency without and with `clients` slow clients, and the difference.
 pub fn run(arguments: &Arguments, clients: usize) -> Result<(), BenchError> {
-    allow_descriptors(clients)?;
+    raise_descriptor_limit(clients)?;
     let workers = programs::worker_pair(&[])?;
     let addresses = workers.each_ref().map(MeasuredProcess::address);
     let gateway = programs::gateway(arguments, &addresses)?;
-    let load = Load::at_rate(arguments.rate, arguments.span());
+    let load = Load::at_rate(arguments.rate, arguments.duration());
     let without = measure(gateway.address(), load)?;
     let slow_clients = connect(gateway.address(), clients)?;
     let with = measure(gateway.address(), load)?;
@@ -51,17 +53,17 @@
     Ok(())
 }
 
-fn allow_descriptors(clients: usize) -> Result<(), BenchError> {
+fn raise_descriptor_limit(clients: usize) -> Result<(), BenchError> {
     let allowed = rlimit::increase_nofile_limit(clients as u64 + SPARE_DESCRIPTORS)
-        .map_err(system_error("limit of descriptors"))?;
-    if allowed < clients as u64 + LEAST_SPARE_DESCRIPTORS {
+        .map_err(system_error("raising the file descriptor limit"))?;
+    if allowed < clients as u64 + MIN_SPARE_DESCRIPTORS {
         return Err(BenchError::TooFewDescriptors { clients, allowed });
     }
     Ok(())
 }
 
 fn measure(target: SocketAddr, load: Load) -> Result<Measurement, BenchError> {
-    load::run(target, load.for_span(WARM_UP))?;
+    load::run(target, load.with_duration(WARM_UP))?;
     load::run(target, load)
 }
 
@@ -75,19 +77,23 @@
 }
 
 fn connect(target: SocketAddr, clients: usize) -> Result<Vec<TcpStream>, BenchError> {
-    let bytes = half_a_request();
+    let bytes = incomplete_request();
     let connect_one = || {
         let mut socket = TcpStream::connect(target)?;
         socket.write_all(&bytes)?;
         Ok(socket)
     };
     (0..clients)
-        .map(|_| connect_one().map_err(system_error(format!("a slow client of {target}"))))
+        .map(|_| {
+            connect_one().map_err(system_error(format!(
+                "connecting a slow client to {target}"
+            )))
+        })
         .collect()
 }
 
-/// A client's preface and settings, a request's HEADERS, and half of its message (RFC 9113).
-fn half_a_request() -> Vec<u8> {
+/// The HTTP/2 connection preface, SETTINGS, HEADERS, and DATA with half of the message (RFC 9113).
+fn incomplete_request() -> Vec<u8> {
     let mut out = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec();
     let mut frame = |kind: u8, flags: u8, stream: u8, payload: &[u8]| {
         out.extend(&(payload.len() as u32).to_be_bytes()[1..]);
@@ -101,7 +107,7 @@
     out
 }
 
-/// The headers of a call, as literals without indexing (RFC 7541).
+/// HPACK header block of a call: literal fields without indexing (RFC 7541, section 6.2.2).
 fn header_block() -> Vec<u8> {
     let headers = [
         (":method", "POST"),
--- a/benches/cost/src/waiting.rs
+++ b/benches/cost/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Cost of a call by calls that wait, with one lane a function and worker and answers that take 5 ms.
+//! CPU time per call by number of queued calls: instances have one lane, and each answer takes 5 ms.
 
 use crate::arguments::Arguments;
 use crate::error::BenchError;
@@ -8,16 +8,16 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Until all calls are accepted.
-const SETTLE: Duration = Duration::from_secs(3);
-/// Milliseconds of each answer.
+/// Time for the gateway to accept all calls.
+const ACCEPT_PERIOD: Duration = Duration::from_secs(3);
+/// Value of the workers' `--delay`, in milliseconds.
 const ANSWER_MILLIS: &str = "5";
 
 const FUNCTIONS: [usize; 3] = [1, 50, 1_000];
 const WORKERS: [usize; 2] = [4, 400];
 const OPEN_CALLS: [usize; 4] = [16, 256, 2_000, 20_000];
 
-/// Measures.
+/// Prints throughput and CPU time per call for each number of functions, workers and open calls.
 pub fn run(arguments: &Arguments) -> Result<(), BenchError> {
     println!("| functions | workers | open | calls/s | CPU us a call |");
     println!("|---|---|---|---|---|");
@@ -50,24 +50,24 @@
 ) -> Result<WaitingCost, BenchError> {
     let gateway =
         programs::gateway_with_functions(arguments, &workers.all_addresses(), functions, 1)?;
-    let span = arguments.span();
+    let duration = arguments.duration();
     let target = gateway.address();
     let load = Load {
         functions,
-        ..Load::closed(open, SETTLE + span)
+        ..Load::closed(open, ACCEPT_PERIOD + duration)
     };
     let clients = std::thread::spawn(move || load::run(target, load).map(drop));
-    // What it costs to accept them all is not what it costs to hold them.
-    std::thread::sleep(SETTLE);
+    // Excludes the cost of accepting the initial calls.
+    std::thread::sleep(ACCEPT_PERIOD);
     let cpu_before = gateway.cpu_seconds();
     let served_before = SERVED_CALLS.load(Ordering::Relaxed);
-    std::thread::sleep(span);
+    std::thread::sleep(duration);
     let cpu_seconds = gateway.cpu_seconds() - cpu_before;
     let served = SERVED_CALLS.load(Ordering::Relaxed) - served_before;
     drop(gateway);
     clients.join().map_err(|_| BenchError::ClientThread)??;
     Ok(WaitingCost {
-        calls_per_second: served as f64 / span.as_secs_f64(),
+        calls_per_second: served as f64 / duration.as_secs_f64(),
         cpu_micros_per_call: cpu_seconds * 1e6 / served.max(1) as f64,
     })
 }
--- a/benches/cost/src/worker.rs
+++ b/benches/cost/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that costs next to nothing: a fixed answer at once, or silence.
+//! A minimal worker: returns a fixed answer, or never answers.
 
 use crate::error::{system_error, BenchError};
 use crate::load::response;
@@ -18,12 +18,11 @@
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 
-/// Bytes of a request, at most.
 const MAX_REQUEST_BYTES: usize = 1 << 22;
-/// Streams of one connection: more than are ever open.
-const STREAMS: u32 = 100_000;
+/// Stream limit per connection: higher than the number of calls in any measurement.
+const MAX_STREAMS: u32 = 100_000;
 
-/// Serves `ports` ports, the first of them printed as `grpc`, all as `all`; each answer to a call takes `delay`.
+/// Serves `ports` ports and answers each call after `delay`. Prints the first address as `grpc`, all of them as `all`.
 pub fn run(silent: bool, delay: Duration, ports: usize) -> Result<(), BenchError> {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
     let spawner = Spawner::new(event_loop.handle()).map_err(system_error("event loop"))?;
@@ -51,15 +50,15 @@
 }
 
 impl Worker {
-    /// Serves one more port: its address.
+    /// Starts a server on a free port and returns its address.
     fn serve_port(&self) -> Result<String, BenchError> {
         let port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let listener = listen(port, false).map_err(system_error("a worker's port"))?;
+        let listener = listen(port, false).map_err(system_error("opening a worker port"))?;
         let address = listener
             .local_addr()
-            .map_err(system_error("a worker's port"))?;
+            .map_err(system_error("opening a worker port"))?;
         let limits = Limits {
-            streams: STREAMS,
+            streams: MAX_STREAMS,
             ..Limits::default()
         };
         let worker = self.clone();
@@ -71,16 +70,16 @@
             },
         );
         Server::start(self.spawner.clone(), listener, limits, handler)
-            .map_err(system_error("a worker's server"))?;
+            .map_err(system_error("starting a worker server"))?;
         Ok(address.to_string())
     }
 
-    /// Answers a request once its message has come.
+    /// Answers a request after its message has been received.
     async fn answer(self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
         let (head, body) = request.into_parts();
         let mut messages = RequestMessages::new(body, MAX_REQUEST_BYTES);
         let mut message = None;
-        // A client that leaves early notices nothing of the answer.
+        // If the request fails, its client has gone and no answer reaches it.
         let _ = poll_fn(|context| messages.poll_unary(&mut message, context)).await;
         let is_call = head.uri.path().ends_with("Infer");
         if is_call && self.silent {
@@ -95,7 +94,7 @@
             frame(&pb::ServerReadyResponse { ready: true }.encode_to_vec())
         };
         if let Ok(mut stream) = respond.send_response(response_headers(), false) {
-            // Fails only where the client has left.
+            // Fails only if the client has disconnected.
             let _ = stream
                 .send_data(body, false)
                 .and_then(|()| stream.send_trailers(trailers()));
@@ -103,7 +102,7 @@
     }
 }
 
-/// The trailers of an answer: served by the one instance, which was loaded already.
+/// Response trailers that report a single, warm instance.
 fn trailers() -> HeaderMap {
     let mut trailers = status_trailers(Code::Ok, "");
     trailers.insert(names::CACHE_STATUS, HeaderValue::from_static("warm"));
