--- a/benches/state/src/args.rs
+++ b/benches/state/src/args.rs
@@ -1,80 +1,80 @@
-//! The command line: what to measure, and at which size.
+//! Command-line arguments: the measurement and its size.
 
 use crate::measure::allowed_mb;
 use crate::{inputs, BenchError};
 use clap::builder::TypedValueParser;
 use clap::{Args as Arguments, ValueEnum};
 
-/// What is measured. The names on the command line and in recorded runs are those of `value(name)`.
+/// A measurement. `value(name)` sets its name on the command line and in recorded runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Measurement {
-    /// The decision module: by functions that were called, and by instances that it believes in.
+    /// Memory and step times of the decision module, by functions called and instances known to it.
     #[value(name = "module")]
     DecisionModule,
-    /// The dispatcher with the decision module in it, under a steady workload.
+    /// Memory and step times of the dispatcher, including the decision module, under a steady workload.
     #[value(name = "ledger")]
     Dispatcher,
-    /// The share of a cold start that is spent in the front end.
+    /// Time that a cold start spends in the front end.
     #[value(name = "cold_start")]
     ColdStart,
-    /// One change of one function, from the replicated state to applied settings.
+    /// A change of one function, from the replicated state to the applied settings.
     #[value(name = "terms")]
     SettingsChange,
-    /// Applying new settings alone.
+    /// Applying changed settings to a dispatcher.
     #[value(name = "adopt")]
     ApplySettings,
     /// The lease grant message that carries the settings.
     #[value(name = "letter")]
     GrantMessage,
-    /// The most functions whose settings fit into one grant, or whose log fits into one message to a voter.
+    /// Maximum number of functions whose settings fit into one grant, and whose log fits into one message to a voter.
     #[value(name = "largest")]
     LargestMessage,
-    /// The replicated log at a voter, with as many versions as it keeps.
+    /// The replicated log at a voter, with the version history that it keeps.
     #[value(name = "log")]
     ReplicatedLog,
-    /// A voter's file.
+    /// A voter's log file.
     #[value(name = "file")]
     VoterFile,
-    /// Membership.
+    /// Membership as one front end knows it.
     #[value(name = "members")]
     Membership,
-    /// The tree of members by which leases are requested.
+    /// The lease tree of members.
     #[value(name = "view")]
     LeaseTopology,
-    /// The roster in the log, and sessions.
+    /// The roster in the log, and the leader's sessions.
     #[value(name = "roster")]
     Roster,
-    /// The text of a list of workers.
+    /// The settings file with a list of workers.
     #[value(name = "list")]
     EndpointListFile,
-    /// The list as the dispatcher and the decision module store it.
+    /// The worker list in the dispatcher and the decision module.
     #[value(name = "listed")]
     EndpointListUpdate,
-    /// The list as the platform's coordinator sends it.
+    /// The worker list as sent by the platform's coordinator.
     #[value(name = "platform_list")]
     PlatformList,
-    /// Workers that leave.
+    /// The table of drained workers.
     #[value(name = "leaving")]
     DrainTable,
-    /// The catalog of functions that are agreed on one by one, at a voter.
+    /// The scope catalog at a voter: functions whose settings change independently.
     #[value(name = "catalog")]
     ScopeCatalog,
-    /// A voter's file with such a catalog.
+    /// A voter's log file with the scope catalog.
     #[value(name = "catalog_file")]
     CatalogFile,
-    /// A front end's subscriptions to such functions.
+    /// A front end's scope subscriptions.
     #[value(name = "holding")]
     ScopeSubscriptions,
-    /// The leader's table of those subscriptions.
+    /// The leader's table of scope subscriptions.
     #[value(name = "holders")]
     SubscriptionTable,
-    /// The load on workers from all front ends of a small fleet.
+    /// Load on workers from all front ends of a small fleet.
     #[value(name = "workers")]
     WorkerLoad,
-    /// What one observation of all front ends costs a rollout controller.
+    /// Cost to a rollout controller of observing all front ends.
     #[value(name = "steer")]
     RolloutController,
-    /// How long a rollout over all front ends lasts.
+    /// Duration of a rollout over all front ends.
     #[value(name = "roll")]
     Rollout,
 }
@@ -96,13 +96,13 @@
     };
 }
 
-/// What to measure, and at which size. Without --all one size is measured.
+/// The measurement and its size.
 #[derive(Clone, Debug, Arguments)]
 pub struct Args {
-    /// Measure everything that the page needs, size by size; some minutes.
+    /// Run all measurements at all sizes of the campaign; takes several minutes.
     #[arg(long, conflicts_with_all = ["what", "functions", "instances", "front_ends", "seed", "changes", "held", "unlisted", "miss"])]
     pub all: bool,
-    /// What to measure.
+    /// The measurement to run.
     #[arg(
         id = "what",
         long = "what",
@@ -111,37 +111,37 @@
         required_unless_present = "all"
     )]
     pub measurement: Option<Measurement>,
-    /// Functions that are known.
+    /// Number of functions.
     #[arg(long, default_value_t = 1000, value_parser = size_in!(1..=1_000_000))]
     pub functions: usize,
-    /// Warm instances, 100 at each worker; of the lists of workers: workers that are listed.
+    /// Number of warm instances, 100 per worker; for worker lists, the number of workers.
     #[arg(long, default_value_t = 10_000, value_parser = size_in!(1..=4_000_000))]
     pub instances: usize,
-    /// Front ends of the fleet.
+    /// Number of front ends in the fleet.
     #[arg(long, default_value_t = 15_000, value_parser = size_in!(2..=100_000))]
     pub front_ends: usize,
-    /// Changes that the log and a voter's file have taken.
+    /// Number of changes applied to the log and to a voter's file.
     #[arg(long, default_value_t = 256, value_parser = size_in!(1..=2_000))]
     pub changes: usize,
-    /// Functions that a front end subscribes to of those that are agreed on one by one.
+    /// Number of scopes that each front end subscribes to.
     #[arg(id = "held", long = "held", value_name = "HELD", default_value_t = 100, value_parser = size_in!(1..=4_096))]
     pub subscriptions: usize,
-    /// The settings name no function: calls describe theirs.
+    /// Leave functions out of the settings; each call describes its function.
     #[arg(long)]
     pub unlisted: bool,
-    /// Of `workers`: a call of what a worker lacks is a miss; only load requests load.
+    /// For `workers`: a call of a function that is not loaded is a miss, and only load requests load it.
     #[arg(long)]
     pub miss: bool,
-    /// Of names, calls and draws.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Measure in this process.
+    /// Measure in this process instead of a child process.
     #[arg(id = "here", long = "here", hide = true)]
     pub in_process: bool,
 }
 
 impl Args {
-    /// The arguments of a measurement at its default size.
+    /// Arguments for a measurement at the default size.
     pub fn of(measurement: Measurement) -> Args {
         Args {
             all: false,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The measurement and its size as words of a command line.
+    /// The measurement and its size as command-line arguments.
     pub(crate) fn words(&self) -> Vec<String> {
         let mut words = Vec::new();
         if let Some(measurement) = self.measurement {
@@ -182,7 +182,7 @@
         words
     }
 
-    /// Upper estimate of the MB that the measurement holds: no less than was measured at the sizes of the campaign.
+    /// Upper estimate of the memory that the measurement needs, in MB.
     fn needed_mb(&self) -> f64 {
         let Some(measurement) = self.measurement else {
             return 0.0;
@@ -194,12 +194,12 @@
         use Measurement::*;
         let (functions, instances) = (self.functions, self.instances);
         let (front_ends, versions) = (self.front_ends, self.changes.min(256));
-        let workers = instances.div_ceil(inputs::WARM);
+        let workers = instances.div_ceil(inputs::INSTANCES_PER_WORKER);
         match measurement {
             DecisionModule => {
                 functions * (1_600 + 24 * workers) + instances * 400 + workers * 2_000
             }
-            // Each function that was called ranks all workers.
+            // Each called function keeps a ranking of all workers.
             Dispatcher if self.unlisted => functions * (3_000 + 24 * workers) + workers * 3_000,
             Dispatcher | ColdStart => {
                 functions * 3_000 + functions.min(4_000) * 24 * workers + workers * 3_000
@@ -215,19 +215,19 @@
             PlatformList | DrainTable => instances * 2_000,
             ScopeSubscriptions => functions * 200 + self.subscriptions * 4_000,
             SubscriptionTable => functions * 200 + front_ends * (1_000 + self.subscriptions * 200),
-            // Each front end ranks all workers for each function that it was called for lately.
+            // Each front end keeps a ranking of all workers for each recently called function.
             WorkerLoad => {
                 front_ends * functions.min(1_500) * (4_000 + 24 * workers)
                     + front_ends * workers * 1_500
                     + instances * 2_000
             }
-            // Counters of each front end: as received, as stored, and of every slice before the change.
+            // Counters of each front end: received, stored, and of every baseline slice.
             RolloutController => front_ends * 1_200_000,
             Rollout => front_ends * 200_000,
         }
     }
 
-    /// Refuses a size that would use more than half of the machine's memory.
+    /// Rejects a size that may need more than half of the machine's memory.
     pub(crate) fn check_size(&self) -> Result<(), BenchError> {
         let (needed_mb, allowed_mb) = (self.needed_mb(), allowed_mb());
         if needed_mb <= allowed_mb {
@@ -241,7 +241,7 @@
     }
 }
 
-/// What is wrong with arguments, in one line: what, where, and what would be right.
+/// Formats a command-line error as a single line, without the usage text.
 pub fn one_line(error: &clap::Error) -> String {
     let text = error.to_string();
     let lines: Vec<&str> = text
--- a/benches/state/src/campaign.rs
+++ b/benches/state/src/campaign.rs
@@ -1,22 +1,22 @@
-//! The sizes that docs/CAPACITY.md is made from.
+//! The runs of `--all`, whose output docs/CAPACITY.md is generated from.
 
 use crate::{Args, Measurement};
 
-/// Instances of the fleet that capacity is planned for.
+/// Instances of the fleet for which capacity is planned.
 const TARGET_INSTANCES: usize = 1_300_000;
 const KNOWN_FUNCTIONS: [usize; 5] = [1_000, 10_000, 40_000, 100_000, 340_000];
 const WARM_INSTANCES: [usize; 4] = [40_000, 160_000, 400_000, TARGET_INSTANCES];
-/// Functions of the fleet that capacity is planned for.
+/// Functions of the fleet for which capacity is planned.
 const TARGET_FUNCTIONS: usize = 340_000;
 
-/// A list of runs that grows by one measurement at several sizes.
+/// A list of runs, built from measurements at several sizes.
 #[derive(Default)]
 struct Campaign {
     runs: Vec<Args>,
 }
 
 impl Campaign {
-    /// Adds a measurement at these sizes, each with three seeds; at the largest list, which takes longest, with one.
+    /// Adds a measurement at these sizes with three seeds each, or one seed at [`TARGET_INSTANCES`], the slowest size.
     fn add(&mut self, measurement: Measurement, sizes: &[usize], set: impl Fn(&mut Args, usize)) {
         for size in sizes {
             let seeds = if *size == TARGET_INSTANCES { 1 } else { 3 };
@@ -53,7 +53,7 @@
         self.add(Dispatcher, &KNOWN_FUNCTIONS[..4], |args, size| {
             (args.functions, args.unlisted) = (size, true)
         });
-        // With few workers to many front ends hardly any cold call is sent at all, whatever the functions.
+        // With few workers per front end hardly any cold call is sent, so this series uses more instances.
         self.add(ColdStart, &KNOWN_FUNCTIONS[..4], |args, size| {
             (args.functions, args.instances) = (size, 160_000)
         });
@@ -79,7 +79,7 @@
         self.by_front_ends(Roster, &[250, 1_000, 4_000, 10_000, 16_000]);
     }
 
-    /// Lists of workers, and workers that leave.
+    /// Worker lists and drained workers.
     fn add_endpoints(&mut self) {
         use Measurement::*;
         self.by_instances(EndpointListFile, &[1_000, 4_000, 16_000, 64_000]);
@@ -91,7 +91,7 @@
         self.by_instances(DrainTable, &[1_000, 4_000, 16_000, 40_000]);
     }
 
-    /// Functions that are agreed on one by one.
+    /// Scopes: functions whose settings change independently.
     fn add_scopes(&mut self) {
         use Measurement::*;
         self.by_functions(ScopeCatalog, &KNOWN_FUNCTIONS);
@@ -108,12 +108,12 @@
         );
     }
 
-    /// Workers under the load of all front ends, and rollouts.
+    /// Load on workers from all front ends, and rollouts.
     fn add_fleets(&mut self) {
         use Measurement::*;
         for miss in [false, true] {
             self.add(WorkerLoad, &[10, 30, 100, 300], |args, size| {
-                // The planned fleet at a smaller scale: 340,000 functions and 1,300,000 instances of 15,000 front ends.
+                // Scaled down from the target fleet: 340,000 functions, 1,300,000 instances and 15,000 front ends.
                 args.front_ends = size;
                 args.functions = size * 340 / 15;
                 args.instances = size * 1_300 / 15;
@@ -125,7 +125,7 @@
     }
 }
 
-/// All runs that the page needs, in the order in which they are measured.
+/// All runs of the campaign, in the order of measurement.
 pub(crate) fn campaign() -> Vec<Args> {
     let mut campaign = Campaign::default();
     campaign.add_dispatch();
--- a/benches/state/src/connections.rs
+++ b/benches/state/src/connections.rs
@@ -1,14 +1,15 @@
-//! Connections between front ends and workers, counted: opened when none had room for a stream, closed when idle for long.
+//! Counts connections between front ends and workers. A connection is opened when no other has room for a stream, and closed
+//! after an idle timeout.
 
 use std::collections::{HashMap, VecDeque};
 use tansyrouter::Micros;
 
-/// How front ends keep connections.
+/// Limits of the connections that front ends keep open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepAlivePolicy {
-    /// A connection without a stream for this long is closed; without it none is.
+    /// Time without a stream after which a connection is closed; `None` keeps idle connections open.
     pub idle_timeout: Option<Micros>,
-    /// Streams that a connection carries at a time.
+    /// Concurrent streams per connection.
     pub max_streams: u32,
 }
 
@@ -25,7 +26,7 @@
     worker: usize,
 }
 
-/// When a connection may be closed, unless it was used in the meantime.
+/// When a connection is due to be closed, unless it has been used in the meantime.
 struct IdleDeadline {
     due: Micros,
     pair: Pair,
@@ -38,7 +39,7 @@
     current: u32,
     max: u32,
     changed: Micros,
-    /// Connections times microseconds.
+    /// In connection-microseconds.
     integral: f64,
 }
 
@@ -51,45 +52,45 @@
     }
 }
 
-/// The connection of a new stream.
+/// The connection on which a new stream was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamStart {
-    /// Its number.
+    /// Identifier of the connection.
     pub connection: u64,
-    /// Whether it was opened for this stream.
+    /// Whether the connection was opened for this stream.
     pub is_new: bool,
 }
 
-/// Connections since the beginning.
+/// Connection counts since the start of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Opened ones.
+    /// Connections that have been opened.
     pub opened: u64,
-    /// Closed ones.
+    /// Connections that have been closed.
     pub closed: u64,
-    /// Those that are open now.
+    /// Connections that are open now.
     pub open: u64,
 }
 
-/// Connections since the measurement began.
+/// Connection statistics since the measurement began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionUsage {
-    /// Open connections of a worker, averaged over time and workers.
+    /// Open connections per worker, averaged over time and workers.
     pub mean: f64,
-    /// The most that one worker had open.
+    /// Maximum number of open connections at one worker.
     pub max: u32,
-    /// Connections opened to a worker, by the second.
+    /// Connections opened per worker and second.
     pub opened_per_s: f64,
 }
 
 /// All connections of a fleet to its workers, under one keep-alive policy.
 pub struct ConnectionPool {
     policy: KeepAlivePolicy,
-    /// By pair, the connection that was used last at the end.
+    /// By pair. A connection is appended when opened and moves to the end when one of its streams ends.
     connections: HashMap<Pair, Vec<Connection>>,
-    /// By worker.
+    /// Indexed by worker.
     open: Vec<OpenConnections>,
-    /// In the order of time.
+    /// Ordered by due time.
     idle_deadlines: VecDeque<IdleDeadline>,
     opened: u64,
     closed: u64,
@@ -98,7 +99,7 @@
 }
 
 impl ConnectionPool {
-    /// No connection yet to any of these workers.
+    /// Creates a pool without connections to `workers` workers.
     pub fn new(workers: usize, policy: KeepAlivePolicy) -> ConnectionPool {
         ConnectionPool {
             policy,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A stream starts on a connection that has room, else on a new one.
+    /// Starts a stream on the last connection of the pair that has room, or on a new connection.
     pub fn begin_stream(&mut self, now: Micros, front_end: usize, worker: usize) -> StreamStart {
         self.close_idle(now);
         let pair = Pair { front_end, worker };
@@ -141,7 +142,7 @@
         }
     }
 
-    /// A stream ends; one of a connection that does not exist, or has no stream, is ignored.
+    /// Ends a stream. Ignores a connection that does not exist or has no open stream.
     pub fn end_stream(&mut self, now: Micros, front_end: usize, worker: usize, id: u64) {
         self.close_idle(now);
         let pair = Pair { front_end, worker };
@@ -166,7 +167,7 @@
         connections.push(connection);
     }
 
-    /// Closes the connections whose idle timeout is over by now.
+    /// Closes the connections whose idle timeout has passed.
     pub fn close_idle(&mut self, now: Micros) {
         let Some(idle_timeout) = self.policy.idle_timeout else {
             return;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Starts to measure: [`Self::usage`] counts from here on.
+    /// Starts the measurement that [`Self::usage`] reports.
     pub fn start_measurement(&mut self, now: Micros) {
         self.close_idle(now);
         for open in &mut self.open {
@@ -205,7 +206,7 @@
         self.opened_before = self.opened;
     }
 
-    /// Connections that were opened, closed and are open, since the beginning.
+    /// Connections opened and closed since the start, and open now.
     pub fn counts(&self) -> ConnectionCounts {
         let open: usize = self.connections.values().map(Vec::len).sum();
         ConnectionCounts {
@@ -215,12 +216,12 @@
         }
     }
 
-    /// Open connections of each worker.
+    /// Number of open connections of each worker.
     pub fn open_by_worker(&self) -> Vec<u32> {
         self.open.iter().map(|open| open.current).collect()
     }
 
-    /// Connections of a worker since the measurement began.
+    /// Connection statistics per worker since the measurement began.
     pub fn usage(&mut self, now: Micros) -> ConnectionUsage {
         self.close_idle(now);
         for open in &mut self.open {
--- a/benches/state/src/dispatch_costs.rs
+++ b/benches/state/src/dispatch_costs.rs
@@ -3,7 +3,7 @@
 use crate::dispatch_workload::{
     arrival, DispatcherAdapter, RouterAdapter, SystemUnderTest, Workload,
 };
-use crate::inputs::{self, FunctionPopularity, LOAD, WARM};
+use crate::inputs::{self, FunctionPopularity, INSTANCES_PER_WORKER, LOAD_TIME};
 use crate::measure::{ms, timed, MemoryGrowth, OutputRecord};
 use crate::{Args, BenchError};
 use tansy_dispatch::{CallId, Dispatcher, Input};
@@ -23,21 +23,21 @@
 const BATCH: usize = 20_000;
 const BATCH_INTERVAL: Micros = 20_000;
 /// Calls of functions that no worker has, by the second, at one front end.
-const COLD_CALLS_S: f64 = 1.0;
+const COLD_CALLS_PER_SECOND: f64 = 1.0;
 /// The number of the first call before the workload; the workload itself counts from 1.
 const FIRST_CALL: u64 = u64::MAX / 2;
 
 fn worker_entry(number: usize) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(number as u64),
-        cell: inputs::cell(number),
+        cell: inputs::worker_cell(number),
         relative_size: 1.0,
         ..WorkerEntry::default()
     }
 }
 
 fn worker_count(args: &Args) -> usize {
-    args.instances.div_ceil(WARM).max(1)
+    args.instances.div_ceil(INSTANCES_PER_WORKER).max(1)
 }
 
 fn add_memory(growth: &MemoryGrowth, output: &mut OutputRecord) {
@@ -86,13 +86,16 @@
     fn load_instances(&mut self, instances: usize, functions: usize) {
         for instance in 0..instances {
             self.pass_time(instance);
-            let (worker, nth) = (instance / WARM, instance % WARM);
-            let function = (worker + nth * (functions / WARM).max(1)) % functions;
+            let (worker, nth) = (
+                instance / INSTANCES_PER_WORKER,
+                instance % INSTANCES_PER_WORKER,
+            );
+            let function = (worker + nth * (functions / INSTANCES_PER_WORKER).max(1)) % functions;
             let loaded = Event::LoadEnded {
                 worker: WorkerId(worker as u64),
                 function: FunctionId(function as u64),
                 outcome: Outcome::Served,
-                latency: LOAD,
+                latency: LOAD_TIME,
                 instances: 1,
             };
             self.system.apply(self.now, loaded);
@@ -105,7 +108,7 @@
     let popularity = FunctionPopularity::new(args.functions, args.seed);
     let workers = worker_count(args);
     output.count("workers", workers);
-    output.figure("seldom", inputs::seldom(&popularity.shares()));
+    output.figure("seldom", inputs::rarely_called_share(&popularity.shares()));
     let mut rng = fastrand::Rng::with_seed(args.seed);
     let growth = MemoryGrowth::begin();
     let router = Router::new(inputs::settings(args.front_ends), args.seed, Time(0))
@@ -148,7 +151,7 @@
 fn worker_list(workers: usize) -> Input {
     Input::Workers {
         full: true,
-        workers: (0..workers).map(inputs::listed).collect(),
+        workers: (0..workers).map(inputs::worker_record).collect(),
     }
 }
 
@@ -158,7 +161,7 @@
     for (function, name) in function_names.iter().enumerate() {
         let now = (function / BATCH) as Micros * BATCH_INTERVAL;
         let number = FIRST_CALL + function as u64;
-        let call = inputs::call(number, name, 0, Some(inputs::shape(1)));
+        let call = inputs::call(number, name, 0, Some(inputs::function_shape(1)));
         system.apply(now, Input::Call(call));
         let call = CallId(number);
         system.apply(now, Input::ClientLeft { call });
@@ -168,11 +171,11 @@
 
 /// The dispatcher with the decision module in it, under a steady workload.
 pub fn dispatcher(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let function_names = inputs::names(args.functions, args.seed);
+    let function_names = inputs::function_names(args.functions, args.seed);
     let popularity = FunctionPopularity::new(args.functions, args.seed);
     let workers = worker_count(args);
     output.count("workers", workers);
-    output.figure("seldom", inputs::seldom(&popularity.shares()));
+    output.figure("seldom", inputs::rarely_called_share(&popularity.shares()));
     output.count("unlisted", usize::from(args.unlisted));
     let without_functions = new_dispatcher(args, &[], output)?;
     let mut system = DispatcherAdapter::new(without_functions, function_names, args.unlisted);
@@ -205,19 +208,19 @@
 
 /// The share of a cold start that is spent in the front end.
 pub fn cold_start(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let function_names = inputs::names(args.functions, args.seed);
+    let function_names = inputs::function_names(args.functions, args.seed);
     let popularity = FunctionPopularity::new(args.functions, args.seed);
     let workers = worker_count(args);
     output.count("workers", workers);
-    output.figure("cold_calls_s", COLD_CALLS_S);
-    output.figure("load_ms", LOAD as f64 / 1e3);
+    output.figure("cold_calls_s", COLD_CALLS_PER_SECOND);
+    output.figure("load_ms", LOAD_TIME as f64 / 1e3);
     let dispatcher = new_dispatcher(args, &function_names, output)?;
     // Calls describe the functions that nobody has called yet.
     let mut system = DispatcherAdapter::new(dispatcher, function_names, true);
     system.apply(0, worker_list(workers));
     let mut workload = Workload::new(system, popularity, args.front_ends, args.seed);
     workload.run(WARM_UP / 3);
-    workload.start_cold_calls(COLD_CALLS_S, |system, number| {
+    workload.start_cold_calls(COLD_CALLS_PER_SECOND, |system, number| {
         system.add_function(format!("cold-{number:06x}"))
     });
     workload.run(5 * SECOND);
--- a/benches/state/src/dispatch_workload.rs
+++ b/benches/state/src/dispatch_workload.rs
@@ -14,7 +14,7 @@
 pub use router::{arrival, RouterAdapter};
 pub use system::{LoadRequest, Output, SentAttempt, SystemUnderTest};
 
-use crate::inputs::{self, FunctionPopularity, CALLS_S, LOAD};
+use crate::inputs::{self, FunctionPopularity, CALLS_PER_SECOND, LOAD_TIME};
 use crate::measure::{timed, Distribution};
 use cold_starts::PendingColdStart;
 use std::cmp::Reverse;
@@ -103,7 +103,7 @@
     let shares = popularity.shares();
     shares
         .iter()
-        .map(|share| share * CALLS_S * front_ends as f64 * life_s >= 1.0)
+        .map(|share| share * CALLS_PER_SECOND * front_ends as f64 * life_s >= 1.0)
         .collect()
 }
 
@@ -306,7 +306,7 @@
             self.cold_starts.record_send(&pending, self.now, took);
         }
         self.keep_warm(sent.worker, function);
-        let load_time = if sent.warm { 0 } else { LOAD };
+        let load_time = if sent.warm { 0 } else { LOAD_TIME };
         self.schedule(CALL_TIME + load_time, Event::AttemptServed(sent));
     }
 
@@ -320,7 +320,7 @@
         }
         let is_warm = self.is_warm(request.worker, request.function);
         let delay = if wants_instance && !is_warm {
-            LOAD
+            LOAD_TIME
         } else {
             QUERY_TIME
         };
--- a/benches/state/src/dispatch_workload/dispatcher.rs
+++ b/benches/state/src/dispatch_workload/dispatcher.rs
@@ -122,7 +122,7 @@
         let Some(name) = self.function_names.get(function) else {
             return;
         };
-        let shape = self.unlisted.then(|| inputs::shape(1));
+        let shape = self.unlisted.then(|| inputs::function_shape(1));
         let input = Input::Call(inputs::call(call, name, 0, shape));
         self.step(now, input, outputs);
     }
--- a/benches/state/src/dispatch_workload/router.rs
+++ b/benches/state/src/dispatch_workload/router.rs
@@ -2,7 +2,7 @@
 
 use super::system::{settle, LoadRequest, Output, SentAttempt, SystemUnderTest};
 use super::UTILIZATION;
-use crate::inputs::{CLASSES, LOAD};
+use crate::inputs::{CLASSES, LOAD_TIME};
 use tansyrouter::{
     Action, Arrival, AttemptResult, Event, FunctionId, InstanceStatus, LoadReport, Micros, Outcome,
     RequestId, Router, Time, WorkerId, SECOND,
@@ -26,7 +26,7 @@
         work_hint: None,
         lanes: 1,
         memory_mb: 256.0,
-        load_time: Some(LOAD),
+        load_time: Some(LOAD_TIME),
         is_client_retry: false,
     }
 }
--- a/benches/state/src/drain_table.rs
+++ b/benches/state/src/drain_table.rs
@@ -19,7 +19,7 @@
 fn departed(number: usize, rng: &mut fastrand::Rng) -> EndpointRecord {
     EndpointRecord {
         endpoint: Endpoint {
-            name: inputs::worker(number),
+            name: inputs::worker_name(number),
             address: worker_address(number).to_string(),
         },
         incarnation: incarnation(rng),
--- a/benches/state/src/endpoint_lists.rs
+++ b/benches/state/src/endpoint_lists.rs
@@ -1,6 +1,6 @@
 //! Lists of workers: the text of one, the dispatcher's copy, and the platform's replies.
 
-use crate::inputs::{self, listed, worker};
+use crate::inputs::{self, worker_name, worker_record};
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
 use crate::{Args, BenchError};
 use std::fmt::Write;
@@ -30,8 +30,8 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut text = String::from("workers: [\n");
     for number in 0..workers {
-        let (name, address) = (worker(number), worker_address(number));
-        let cell = inputs::cell(number);
+        let (name, address) = (worker_name(number), worker_address(number));
+        let cell = inputs::worker_cell(number);
         let incarnation = incarnation(&mut rng);
         let _ = writeln!(
             text,
@@ -64,13 +64,13 @@
     let workers = (0..workers).filter(|number| Some(*number) != skipped);
     Input::Workers {
         full: true,
-        workers: workers.map(listed).collect(),
+        workers: workers.map(worker_record).collect(),
     }
 }
 
 /// The list as the dispatcher and the decision module store it.
 pub fn endpoint_list_update(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let names = inputs::names(args.functions, args.seed);
+    let names = inputs::function_names(args.functions, args.seed);
     let config = inputs::config(&names, args.front_ends, args.seed);
     let mut dispatcher = Dispatcher::new(config, Time(0))
         .map_err(|e| BenchError::failed("the dispatcher's settings", e))?;
@@ -88,7 +88,7 @@
     }
     let addition = Input::Workers {
         full: false,
-        workers: vec![listed(removed)],
+        workers: vec![worker_record(removed)],
     };
     let (_, took) = timed(|| dispatcher.step(Time(4), addition, &mut commands));
     output.figure("one_comes_ms", ms(took));
@@ -119,7 +119,7 @@
         String::from(r#"{"index":1,"updates":[{"index":1,"endpoints":{"full":true,"servers":["#);
     for number in 0..workers {
         let separator = if number > 0 { "," } else { "" };
-        let (name, address) = (worker(number), worker_address(number));
+        let (name, address) = (worker_name(number), worker_address(number));
         let _ = write!(
             text,
             r#"{separator}{{"id":"{name}","addr":"{address}","zone":"local","state":"Ready"}}"#
--- a/benches/state/src/error.rs
+++ b/benches/state/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a benchmark gave no figures.
+//! Errors of benchmarks.
 
 use std::fmt::Display;
 use thiserror::Error;
 
-/// Why nothing was measured, as one line.
+/// Why a benchmark produced no figures. Formats as a single line.
 #[derive(Debug, Error)]
 pub enum BenchError {
     /// The command line names no measurement.
-    #[error("--what: nothing to measure is named: want one, as --what module")]
+    #[error("--what: no measurement given; for example --what module")]
     NoMeasurement,
     /// The requested size does not fit into memory.
     #[error(
-        "{arguments}: it would hold up to {needed_mb:.0} MB, allowed is half of this machine's memory, {allowed_mb:.0} MB: want \
+        "{arguments}: would use up to {needed_mb:.0} MB, more than half of this machine's memory ({allowed_mb:.0} MB); use \
          fewer functions, instances or front ends"
     )]
     TooLarge {
-        /// The arguments that were given.
+        /// The command-line arguments.
         arguments: String,
         /// Upper estimate of the memory that the measurement needs.
         needed_mb: f64,
@@ -33,7 +33,7 @@
 }
 
 impl BenchError {
-    /// A step on `subject` that failed for this reason, of which the first line is kept.
+    /// Creates [`BenchError::Failed`] with the first line of `reason`.
     pub(crate) fn failed(subject: &str, reason: impl Display) -> BenchError {
         let reason = reason.to_string();
         BenchError::Failed {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The exit code: 2 for arguments that can't be measured, 1 for a measurement that failed.
+    /// The exit code: 2 for rejected arguments, 1 for a failed measurement.
     pub fn exit_code(&self) -> u8 {
         match self {
             BenchError::NoMeasurement | BenchError::TooLarge { .. } => 2,
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the measurements: functions, a version of settings that names them, how often each is called, and workers.
+//! Inputs of the measurements: functions, settings, function popularity and workers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,35 +9,35 @@
 };
 use tansyrouter::{Class, DedupGroup, Effect, Micros, Settings, SECOND};
 
-/// Classes of calls.
+/// Number of call classes.
 pub const CLASSES: usize = 8;
-/// Calls that arrive at one front end, by the second.
-pub const CALLS_S: f64 = 100.0;
-/// How steeply functions differ: the n-th most called is called `n^-SKEW` as often as the first. With 1,500,000 calls a
-/// second over 340,000 functions more than half of these are called less than once a minute, over all front ends.
-pub const SKEW: f64 = 1.5;
-/// Warm instances of each worker, of functions of their own.
-pub const WARM: usize = 100;
-/// A load's time.
-pub const LOAD: Micros = 300_000;
-/// After a timer of the dispatcher is due, the tick of its timer wheel begins within this time.
+/// Arrival rate of calls at one front end.
+pub const CALLS_PER_SECOND: f64 = 100.0;
+/// Exponent of the Zipf distribution of calls over functions. At 1,500,000 calls per second over 340,000 functions, more than
+/// half of the functions are called less than once a minute by the whole fleet.
+pub const ZIPF_EXPONENT: f64 = 1.5;
+/// Warm instances per worker, each of a different function.
+pub const INSTANCES_PER_WORKER: usize = 100;
+/// Time to load an instance.
+pub const LOAD_TIME: Micros = 300_000;
+/// Upper bound of the delay between a dispatcher timer's due time and its timer wheel tick.
 pub const TIMER_SLACK: Micros = 500;
-/// The span of a lease.
-pub const LEASE_SPAN: Micros = 600_000;
-/// How much clocks may differ in speed, millionths.
+/// Duration of a lease.
+pub const LEASE_DURATION: Micros = 600_000;
+/// Maximum clock drift, in parts per million.
 pub const DRIFT_PPM: i64 = 1000;
-/// The port at which front ends take messages of the fleet.
+/// Port on which front ends receive fleet messages.
 pub const FLEET_PORT: u16 = 7000;
 /// The deadline of each class, and the budget of each call.
 const DEADLINE: Micros = 5 * SECOND;
 const LATENCY_OBJECTIVE: Micros = SECOND / 2;
-/// How long a group of workers drops repeats of a key.
+/// Deduplication window of idempotency keys.
 const KEY_WINDOW: Micros = 30 * SECOND;
-/// Memory of one instance, bytes.
-const MEMORY: i64 = 256 << 20;
+/// Memory of one instance.
+const INSTANCE_MEMORY_BYTES: i64 = 256 << 20;
 
-/// Names of functions: 8 to 24 characters, 16 on the mean, other ones by each seed.
-pub fn names(functions: usize, seed: u64) -> Vec<String> {
+/// Random function names of 8 to 24 characters, 16 on average.
+pub fn function_names(functions: usize, seed: u64) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let name = |number: usize| {
         let length = rng.usize(1..=17);
@@ -49,7 +49,7 @@
     (0..functions).map(name).collect()
 }
 
-/// Every second class has idempotency keys.
+/// Whether the class uses idempotency keys: every second one does.
 fn is_keyed(class: usize) -> bool {
     class % 2 == 1
 }
@@ -58,8 +58,8 @@
     format!("class-{class}")
 }
 
-/// A version of settings with these functions: four fields each, beside the classes and two fields of workers.
-pub fn version(names: &[String]) -> Fields {
+/// The fields of a settings version: the classes, two general fields, and four fields per function.
+pub fn version_fields(names: &[String]) -> Fields {
     let mut fields = Fields::new();
     for class in 0..CLASSES {
         let prefix = format!("classes.{}", class_name(class));
@@ -77,14 +77,17 @@
         let class = class_name(index % CLASSES);
         fields.insert(format!("{prefix}.class"), Value::Text(class));
         fields.insert(format!("{prefix}.lanes"), Value::Int(1));
-        fields.insert(format!("{prefix}.memory"), Value::Bytes(MEMORY));
-        fields.insert(format!("{prefix}.load_time"), Value::Span(LOAD));
+        fields.insert(
+            format!("{prefix}.memory"),
+            Value::Bytes(INSTANCE_MEMORY_BYTES),
+        );
+        fields.insert(format!("{prefix}.load_time"), Value::Span(LOAD_TIME));
     }
     fields
 }
 
-/// The same fields but for the number of lanes of one function.
-pub fn changed(fields: &Fields, name: &str, lanes: i64) -> Fields {
+/// Copies the fields with another number of lanes for one function.
+pub fn with_lanes(fields: &Fields, name: &str, lanes: i64) -> Fields {
     let mut fields = fields.clone();
     fields.insert(
         format!("functions.{}.lanes", escape_name(name)),
@@ -93,7 +96,7 @@
     fields
 }
 
-/// The decision module's settings of a front end among so many.
+/// Decision module settings of a front end in a fleet of `front_ends`.
 pub fn settings(front_ends: usize) -> Settings {
     let keyed = Effect::Keyed {
         group: DedupGroup::All,
@@ -117,14 +120,14 @@
     }
 }
 
-/// A dispatcher's configuration with these functions in its settings.
+/// Dispatcher configuration that lists these functions.
 pub fn config(names: &[String], front_ends: usize, seed: u64) -> DispatchConfig {
     let function = |(index, name): (usize, &String)| FunctionSpec {
         name: name.clone(),
         class: index % CLASSES,
         lanes: 1,
-        memory_mb: MEMORY as f64 / 1e6,
-        load_time: Some(LOAD),
+        memory_mb: INSTANCE_MEMORY_BYTES as f64 / 1e6,
+        load_time: Some(LOAD_TIME),
         versions: vec!["1".into()],
     };
     DispatchConfig {
@@ -138,12 +141,12 @@
     }
 }
 
-/// The description of a function that goes with its calls where the settings do not name it.
-pub fn shape(lanes: u32) -> FunctionShape {
+/// The description that calls carry of a function that is not in the settings.
+pub fn function_shape(lanes: u32) -> FunctionShape {
     FunctionShape {
         lanes,
         memory_mb: 256.0,
-        load_time: Some(LOAD),
+        load_time: Some(LOAD_TIME),
     }
 }
 
@@ -163,13 +166,13 @@
     }
 }
 
-/// The time to the next call of a front end, by a Poisson process.
+/// Draws the time to a front end's next call (Poisson process).
 pub fn call_gap(rng: &mut fastrand::Rng) -> Micros {
-    let gap = -(1.0 - rng.f64()).ln() / CALLS_S * 1e6;
+    let gap = -(1.0 - rng.f64()).ln() / CALLS_PER_SECOND * 1e6;
     gap as Micros
 }
 
-/// The number of a front end, spread as hashes of names are.
+/// Identifier of a front end, distributed like a hash of its name.
 pub fn member_id(number: usize, seed: u64) -> u64 {
     let spread = (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     fastrand::Rng::with_seed(seed ^ spread).u64(2..)
@@ -183,14 +186,14 @@
     }
 }
 
-/// An address of its own for each number below 2^24.
+/// A unique address for each number below 2^24.
 pub fn address(number: usize, port: u16) -> SocketAddr {
     let number = number as u32;
     let host = [10, (number >> 16) as u8, (number >> 8) as u8, number as u8];
     SocketAddr::from((host, port))
 }
 
-/// The timing of sessions.
+/// Session timing.
 pub fn session_timing() -> LeaseTiming {
     LeaseTiming {
         span: 3600 * SECOND,
@@ -199,27 +202,27 @@
 }
 
 /// The cell of a worker.
-pub fn cell(worker: usize) -> u64 {
+pub fn worker_cell(worker: usize) -> u64 {
     (worker / 100) as u64
 }
 
 /// A worker's name.
-pub fn worker(number: usize) -> String {
+pub fn worker_name(number: usize) -> String {
     format!("worker-{number}")
 }
 
-/// The number of the worker with this name; 0 of a name that [`worker`] did not make.
+/// Parses the number from a name made by [`worker_name`]; 0 for any other name.
 pub fn worker_number(name: &str) -> usize {
     let digits = name.rsplit('-').next();
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// A worker, as it is in the list.
-pub fn listed(number: usize) -> WorkerRecord {
+/// The entry of a worker in the worker list.
+pub fn worker_record(number: usize) -> WorkerRecord {
     WorkerRecord {
-        name: worker(number),
+        name: worker_name(number),
         kind: 0,
-        cell: cell(number),
+        cell: worker_cell(number),
         zone: 0,
         state: WorkerState::Ready,
         age: None,
@@ -229,18 +232,18 @@
 
 /// How often each function is called.
 pub struct FunctionPopularity {
-    /// By rank: the sum of the shares up to it.
+    /// Cumulative share of calls by rank.
     sums: Vec<f64>,
     /// The function of each rank.
     ranked: Vec<u32>,
 }
 
 impl FunctionPopularity {
-    /// Draws the rank of each of so many functions.
+    /// Ranks `functions` functions in random order.
     pub fn new(functions: usize, seed: u64) -> FunctionPopularity {
         let mut sum = 0.0;
         let mut add = |rank: usize| {
-            sum += (rank as f64).powf(-SKEW);
+            sum += (rank as f64).powf(-ZIPF_EXPONENT);
             sum
         };
         let mut sums: Vec<f64> = (1..=functions).map(&mut add).collect();
@@ -250,7 +253,7 @@
         FunctionPopularity { sums, ranked }
     }
 
-    /// Draws the next call's function.
+    /// Draws the function of the next call.
     pub fn next(&self, rng: &mut fastrand::Rng) -> usize {
         let at = rng.f64();
         let rank = self
@@ -272,13 +275,16 @@
     }
 }
 
-/// The share of functions that one front end is called for less than once a minute.
-pub fn seldom(shares: &[f64]) -> f64 {
-    let seldom = shares.iter().filter(|s| *s * CALLS_S * 60.0 < 1.0).count();
-    seldom as f64 / shares.len().max(1) as f64
+/// The share of functions that are called less than once a minute at one front end.
+pub fn rarely_called_share(shares: &[f64]) -> f64 {
+    let rarely_called = shares
+        .iter()
+        .filter(|s| *s * CALLS_PER_SECOND * 60.0 < 1.0)
+        .count();
+    rarely_called as f64 / shares.len().max(1) as f64
 }
 
-/// The index of each function, by name.
+/// Maps each function name to its index.
 pub fn function_indices(names: &[String]) -> BTreeMap<String, usize> {
     names
         .iter()
--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -1,8 +1,9 @@
-//! What state and decisions cost as functions, instances and front ends grow: memory, time and bytes, measured one size at
-//! a time in a process of its own, so that memory which an allocator kept of another size does not count.
+//! Benchmarks that measure how memory, time and bytes of state and decisions grow with the number of functions, instances
+//! and front ends. Each size is measured in a separate process, so that memory retained by the allocator from another size
+//! is not counted.
 //!
-//! [`run`] prints one line of JSON for each run. Nothing here opens a socket; calls arrive in virtual time, and steps are
-//! timed by the wall clock. It does not judge: which figures grow with which size is for the reader of the lines.
+//! [`run`] prints one line of JSON for each run. The benchmarks open no sockets: calls arrive in virtual time, and steps are
+//! timed by the wall clock. They set no thresholds.
 //!
 //! ```
 //! use tansy_bench_state::{measure_in_process, Args, Measurement};
@@ -45,7 +46,7 @@
 use measure::OutputRecord;
 use serde_json::json;
 
-/// Measures one size in this process.
+/// Runs one measurement at one size in this process.
 pub fn measure_in_process(args: &Args) -> Result<OutputRecord, BenchError> {
     args.check_size()?;
     let measurement = args.measurement.ok_or(BenchError::NoMeasurement)?;
@@ -60,7 +61,7 @@
     Ok(output)
 }
 
-/// A benchmark adds its figures to the record of the run.
+/// A benchmark, which adds its figures to the record of the run.
 type Benchmark = fn(&Args, &mut OutputRecord) -> Result<(), BenchError>;
 
 fn benchmark(measurement: Measurement) -> Benchmark {
--- a/benches/state/src/main.rs
+++ b/benches/state/src/main.rs
@@ -3,7 +3,7 @@
 use clap::Parser;
 use std::process::ExitCode;
 
-/// What state and decisions cost as functions, instances and front ends grow.
+/// Measures the cost of state and decisions by number of functions, instances and front ends.
 #[derive(Parser)]
 #[command(name = "tansy-bench-state", version)]
 struct Arguments {
--- a/benches/state/src/measure.rs
+++ b/benches/state/src/measure.rs
@@ -1,12 +1,12 @@
-//! Memory of this process, durations, and the record that a run prints as one line of JSON.
+//! Process memory, durations, and the record that a run prints as one line of JSON.
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Map, Value};
 use std::time::{Duration, Instant};
 
-/// Bytes of an MB in the figures.
+/// Bytes per MB.
 const MB: f64 = 1e6;
-/// Bytes of the unit that `/proc` reports memory in.
+/// Bytes per unit of the memory sizes in `/proc`.
 const KIB: f64 = 1024.0;
 /// Significant digits of a printed figure.
 const SIGNIFICANT_DIGITS: i32 = 4;
@@ -15,7 +15,7 @@
     rustix::param::page_size() as f64
 }
 
-/// The second word of the first line that starts like this in a file of `/proc`; 0 without one.
+/// The second word of the first line in a `/proc` file that starts with `line_start`; 0 if there is none.
 fn proc_number(file: &str, line_start: &str) -> f64 {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let line = text
@@ -29,42 +29,42 @@
     number.unwrap_or(0.0)
 }
 
-/// MB that this process holds in memory.
+/// Resident memory of this process, in MB.
 pub fn memory_mb() -> f64 {
     proc_number("/proc/self/statm", "") * page_bytes() / MB
 }
 
-/// The most MB that this process has held so far.
+/// Peak resident memory of this process, in MB.
 fn peak_memory_mb() -> f64 {
     proc_number("/proc/self/status", "VmHWM:") * KIB / MB
 }
 
-/// Half of the machine's memory, MB: what a run may hold.
+/// Memory that a run may use, in MB: half of the machine's.
 pub fn allowed_mb() -> f64 {
     proc_number("/proc/meminfo", "MemTotal:") * KIB / MB / 2.0
 }
 
-/// How much the memory of this process has grown since a moment.
+/// Growth of this process's memory since [`MemoryGrowth::begin`].
 pub struct MemoryGrowth(f64);
 
 impl MemoryGrowth {
-    /// Growth from now on.
+    /// Starts measuring growth.
     pub fn begin() -> MemoryGrowth {
         MemoryGrowth(memory_mb())
     }
 
-    /// MB of growth by now.
+    /// Growth so far, in MB.
     pub fn mb(&self) -> f64 {
         memory_mb() - self.0
     }
 
-    /// MB by which the process's peak exceeds the memory at the beginning.
+    /// Difference between the process's peak memory and its memory at the start, in MB.
     pub fn peak_mb(&self) -> f64 {
         (peak_memory_mb() - self.0).max(0.0)
     }
 }
 
-/// Runs an operation; its result and how long it took.
+/// Runs an operation and returns its result and duration.
 pub fn timed<T>(operation: impl FnOnce() -> T) -> (T, Duration) {
     let started = Instant::now();
     let result = operation();
@@ -81,24 +81,24 @@
 
 impl Default for Distribution {
     fn default() -> Distribution {
-        Distribution(Histogram::new(3).expect("three digits are allowed"))
+        Distribution(Histogram::new(3).expect("three significant digits are supported"))
     }
 }
 
 impl Distribution {
-    /// Records a duration, to the nanosecond.
+    /// Records a duration with nanosecond resolution.
     pub fn add(&mut self, duration: Duration) {
-        // The histogram grows to hold what is recorded; a saturating record would not let it.
+        // Unlike `saturating_record`, `record` lets the histogram resize itself.
         self.0
             .record(
                 u64::try_from(duration.as_nanos())
                     .unwrap_or(u64::MAX)
                     .max(1),
             )
-            .expect("it grows");
+            .expect("the histogram resizes itself");
     }
 
-    /// Records microseconds of virtual time.
+    /// Records a span of virtual time, in microseconds.
     pub fn add_us(&mut self, micros: i64) {
         self.add(Duration::from_micros(u64::try_from(micros).unwrap_or(0)));
     }
@@ -130,7 +130,7 @@
     }
 }
 
-/// A figure, rounded to four significant digits; 0 if it is not finite.
+/// Rounds a figure to [`SIGNIFICANT_DIGITS`]; returns 0 if it is not finite.
 pub fn rounded(figure: f64) -> f64 {
     if figure == 0.0 || !figure.is_finite() {
         return 0.0;
@@ -152,7 +152,7 @@
         self.fields.insert(name.into(), json!(count));
     }
 
-    /// Adds a figure, rounded to four significant digits.
+    /// Adds a figure, rounded by [`rounded`].
     pub fn figure(&mut self, name: &str, figure: f64) {
         self.fields.insert(name.into(), json!(rounded(figure)));
     }
@@ -162,12 +162,12 @@
         self.fields.insert(name.into(), value);
     }
 
-    /// Adds a note on what was refused or failed.
+    /// Adds a note, for example on a rejection or a failure.
     pub fn add_note(&mut self, note: String) {
         self.notes.push(note);
     }
 
-    /// The record as it is printed; `ok` says whether the run was measured.
+    /// The record in its printed form; `ok` tells whether the measurement succeeded.
     pub fn json(mut self, ok: bool) -> Value {
         self.insert("ok", json!(ok));
         self.insert("notes", json!(self.notes));
--- a/benches/state/src/messages.rs
+++ b/benches/state/src/messages.rs
@@ -1,4 +1,4 @@
-//! The lease grant message that carries the settings: its bytes, its cost, and the largest that a front end can read.
+//! The lease grant message that carries the settings: size, encoding cost, and the largest one that a front end can read.
 
 use crate::inputs;
 use crate::measure::{ms, timed, MemoryGrowth, OutputRecord};
@@ -15,19 +15,19 @@
 use tansy_membership::NodeId;
 use thiserror::Error;
 
-/// The fleet's number.
+/// Identifier of the fleet.
 const FLEET: u64 = 7;
 
 /// Why a message can't be read.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// The frame around it is wrong, or too long.
+    /// The gRPC frame is invalid or too long.
     #[error("{0:?}")]
     Frame(FrameError),
-    /// The stream ends before the message does.
-    #[error("the stream ends within it")]
+    /// The stream ends within the message.
+    #[error("the stream ends within the message")]
     Incomplete,
-    /// The bytes are no message of the fleet.
+    /// The bytes are not a valid fleet message.
     #[error(transparent)]
     Decode(DecodeError),
 }
@@ -36,13 +36,12 @@
     NodeId::new(1, 1, inputs::address(1, inputs::FLEET_PORT))
 }
 
-/// The state that a front end is granted a lease for: a version in force and, with `with_next`, one in which the settings of
-/// one function differ.
-pub fn state(function_names: &[String], with_next: bool) -> FleetState {
-    let fields = inputs::version(function_names);
+/// The state in a lease grant: a version in force and, if `with_next`, a next version that differs in one function.
+pub fn fleet_state(function_names: &[String], with_next: bool) -> FleetState {
+    let fields = inputs::version_fields(function_names);
     let changed = function_names
         .first()
-        .map_or_else(Fields::new, |name| inputs::changed(&fields, name, 2));
+        .map_or_else(Fields::new, |name| inputs::with_lanes(&fields, name, 2));
     let version = |number: u64, fields| VersionedSettings {
         version: Version(number),
         fields,
@@ -60,7 +59,7 @@
     }
 }
 
-/// The encoded message that grants a lease for a state.
+/// Encodes the message that grants a lease for a state.
 pub fn encode_grant(state: FleetState) -> Vec<u8> {
     let to = Member {
         id: 2,
@@ -69,7 +68,7 @@
     let grant = LeaseGrant {
         to,
         seq: 1,
-        span: inputs::LEASE_SPAN,
+        span: inputs::LEASE_DURATION,
         revision: state.revision,
         state: Some(state),
         delta: None,
@@ -78,7 +77,7 @@
     encode_message(FLEET, &sender(), Leader { term: 1, id: 1 }, body)
 }
 
-/// Reads a message as a front end does: out of a stream of bytes, no longer than any message may be.
+/// Reads a message from a byte stream as a front end does, including the limit on its length.
 pub fn read_message(message: &[u8]) -> Result<MessageBody, ReadError> {
     let mut stream = Assembler::new(MAX_MESSAGE_BYTES);
     stream.push(&frame(message));
@@ -88,8 +87,8 @@
     Ok(body)
 }
 
-/// The largest number for which a condition holds that holds for all numbers up to some limit; 0 if for none.
-pub fn largest_holding(holds: impl Fn(usize) -> bool) -> usize {
+/// Finds the largest number that satisfies a monotonic condition by exponential and binary search; 0 if none does.
+pub fn largest_satisfying(holds: impl Fn(usize) -> bool) -> usize {
     let mut above = 1;
     while holds(above) {
         above *= 2;
@@ -106,21 +105,21 @@
     below
 }
 
-/// The most functions whose settings a front end can still be granted a lease for.
+/// The maximum number of functions for which a front end can read the lease grant.
 pub fn max_functions_of_grant(seed: u64, with_next: bool) -> usize {
-    largest_holding(|functions| {
-        let state = state(&inputs::names(functions, seed), with_next);
+    largest_satisfying(|functions| {
+        let state = fleet_state(&inputs::function_names(functions, seed), with_next);
         read_message(&encode_grant(state)).is_ok()
     })
 }
 
-/// Bytes of the message, what it costs to write and read, and whether a front end can read it.
+/// Measures the size of the grant, the time to encode and read it, and whether a front end can read it.
 pub fn grant_message(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let function_names = inputs::names(args.functions, args.seed);
+    let function_names = inputs::function_names(args.functions, args.seed);
     let growth = MemoryGrowth::begin();
-    let with_next = state(&function_names, true);
+    let with_next = fleet_state(&function_names, true);
     output.figure("memory_mb", growth.mb());
-    let in_force = state(&function_names, false);
+    let in_force = fleet_state(&function_names, false);
     let (message, encoding) = timed(|| encode_grant(with_next));
     let in_force_bytes = encode_grant(in_force).len();
     let (body, reading) = timed(|| read_message(&message));
@@ -140,11 +139,12 @@
     Ok(())
 }
 
-/// The most functions whose settings fit into the largest message.
+/// Measures the maximum number of functions whose settings or log fit into one message.
 pub fn largest_message(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let seed = args.seed;
     let functions = max_functions_of_grant(seed, true);
-    let bytes = |functions| encode_grant(state(&inputs::names(functions, seed), true)).len();
+    let bytes =
+        |functions| encode_grant(fleet_state(&inputs::function_names(functions, seed), true)).len();
     output.count("largest_bytes", MAX_MESSAGE_BYTES);
     output.count("most_functions", functions);
     output.count("letter_bytes", bytes(functions));
--- a/benches/state/src/process.rs
+++ b/benches/state/src/process.rs
@@ -1,4 +1,4 @@
-//! The program: each size is measured in a child process, and each run is printed as one line of JSON.
+//! The command-line program: measures each size in a child process and prints each run as one line of JSON.
 
 use crate::campaign::campaign;
 use crate::measure::OutputRecord;
@@ -7,8 +7,8 @@
 use std::io::Write;
 use std::process::{Command, ExitCode, Output, Stdio};
 
-/// Measures what the arguments say, as a program's whole work. Errors are printed on one line. Exit codes: 0 measured, 1 a
-/// measurement failed, 2 the arguments can't be measured.
+/// Entry point of the program. Prints errors on one line. Exit codes: 0 success, 1 a measurement failed, 2 the arguments were
+/// rejected.
 pub fn main(args: &Args) -> ExitCode {
     match run(args) {
         Ok(true) => ExitCode::SUCCESS,
@@ -20,7 +20,7 @@
     }
 }
 
-/// Measures what the arguments say and prints a line for each run; whether all of them succeeded.
+/// Runs the requested measurements, prints a line for each run, and returns whether all of them succeeded.
 pub fn run(args: &Args) -> Result<bool, BenchError> {
     if args.in_process {
         let mut output = measure_in_process(args)?;
@@ -52,7 +52,7 @@
     all_measured
 }
 
-/// The line of a run that failed.
+/// The output line of a failed run.
 fn failed_run(args: &Args, error: &BenchError) -> Value {
     let mut output = OutputRecord::default();
     output.insert("tool", json!("state"));
@@ -62,7 +62,7 @@
     output.json(false)
 }
 
-/// Measures one size in a process of its own and returns the line that it printed.
+/// Measures one size in a child process and returns the line that it printed.
 fn measure_in_child(args: &Args) -> Result<Value, BenchError> {
     args.check_size()?;
     let failed = |error| BenchError::failed("this program", error);
@@ -90,7 +90,7 @@
     serde_json::from_str(text.lines().last()?).ok()
 }
 
-/// The first line on standard error, else the exit status.
+/// The first line on standard error, or the exit status if there is none.
 fn failure_reason(output: &Output) -> String {
     let errors = String::from_utf8_lossy(&output.stderr);
     errors
@@ -99,7 +99,7 @@
         .map_or_else(|| output.status.to_string(), str::to_string)
 }
 
-/// The words before the first option: the subcommand, in a program that has this one among its own.
+/// The arguments before the first option: the subcommand, if another program embeds this one as a subcommand.
 fn subcommand_words() -> Vec<String> {
     std::env::args()
         .skip(1)
--- a/benches/state/src/replicated_log.rs
+++ b/benches/state/src/replicated_log.rs
@@ -1,7 +1,7 @@
 //! The replicated log at a voter, in memory and encoded, and the voter's file.
 
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
-use crate::messages::largest_holding;
+use crate::messages::largest_satisfying;
 use crate::single_voter::SingleVoter;
 use crate::{inputs, Args, BenchError};
 use prost::Message as _;
@@ -24,7 +24,7 @@
     let name = &function_names[number % function_names.len()];
     // Another value than that of the last change of this function.
     let value = 2 + (number / function_names.len()) as i64;
-    let fields = inputs::changed(&in_force.fields, name, value);
+    let fields = inputs::with_lanes(&in_force.fields, name, value);
     voter.append(LogEntry::Propose {
         id: number as u64 + 1,
         base,
@@ -51,9 +51,9 @@
 
 /// The replicated log with as many past versions as a voter keeps, in memory and encoded.
 pub fn replicated_log(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let function_names = inputs::names(args.functions, args.seed);
+    let function_names = inputs::function_names(args.functions, args.seed);
     let growth = MemoryGrowth::begin();
-    let mut voter = SingleVoter::new(inputs::version(&function_names), None)?;
+    let mut voter = SingleVoter::new(inputs::version_fields(&function_names), None)?;
     output.figure("first_mb", growth.mb());
     let mut changes = Distribution::default();
     let mut entry_bytes = 0;
@@ -92,19 +92,19 @@
 
 /// The most functions for which the log, with as many versions as a voter keeps, fits into one message.
 pub(crate) fn max_functions_of_log(seed: u64) -> usize {
-    largest_holding(|functions| {
-        let log = full_log(&inputs::names(functions, seed));
+    largest_satisfying(|functions| {
+        let log = full_log(&inputs::function_names(functions, seed));
         postcard::to_stdvec(&log).is_ok_and(|bytes| bytes.len() <= MAX_MESSAGE_BYTES)
     })
 }
 
 /// A log with as many versions as a voter keeps.
 fn full_log(function_names: &[String]) -> Log {
-    let first = inputs::version(function_names);
+    let first = inputs::version_fields(function_names);
     let address = inputs::address(1, inputs::FLEET_PORT);
     let mut log = Log::new(first.clone(), [(1, address)]);
     for id in 1..MAX_PAST_VERSIONS as u64 {
-        let fields = inputs::changed(&first, &function_names[0], 1 + id as i64 % 4000);
+        let fields = inputs::with_lanes(&first, &function_names[0], 1 + id as i64 % 4000);
         let base = log.state().in_force.version;
         let _ = log.apply(LogEntry::Propose {
             id,
@@ -140,10 +140,10 @@
 }
 
 fn grow_file(args: &Args, path: &Path, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let function_names = inputs::names(args.functions, args.seed);
+    let function_names = inputs::function_names(args.functions, args.seed);
     let (storage, _) =
         LogStorage::open(path).map_err(|e| BenchError::failed("the voter's file", e))?;
-    let mut voter = SingleVoter::new(inputs::version(&function_names), Some(storage))?;
+    let mut voter = SingleVoter::new(inputs::version_fields(&function_names), Some(storage))?;
     let first_bytes = file_bytes(path);
     let (mut entry_bytes, mut max_bytes) = (0, 0);
     for number in 0..args.changes {
--- a/benches/state/src/rollouts/fleet.rs
+++ b/benches/state/src/rollouts/fleet.rs
@@ -1,7 +1,7 @@
 //! The front ends of the fleet, as they answer a rollout controller.
 
 use super::{plan, NEW_LABEL, RESTART_TIME};
-use crate::inputs::CALLS_S;
+use crate::inputs::CALLS_PER_SECOND;
 use prost::Message;
 use std::collections::BTreeMap;
 use tansy_fleet_wire::{decode_counters, pb};
@@ -39,7 +39,7 @@
     /// The encoded reply of its program.
     fn reply(&self, now: Time, classes: usize, rng: &mut fastrand::Rng) -> Vec<u8> {
         let uptime = now - self.started;
-        let calls = CALLS_S * uptime as f64 / 1e6 / classes as f64;
+        let calls = CALLS_PER_SECOND * uptime as f64 / 1e6 / classes as f64;
         let classes = (0..classes).map(|class| class_counters(class, calls, rng));
         let label = if self.is_new { NEW_LABEL } else { "old" };
         let reply = pb::CountsReply {
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -15,10 +15,10 @@
 /// Changes that are requested within one minute at the most.
 const BURST: usize = 500;
 
-/// What a scope holds of a function: the four fields of [`inputs::version`].
+/// What a scope holds of a function: the four fields of [`inputs::version_fields`].
 fn scope_fields(lanes: i64) -> Fields {
-    let version = inputs::version(&["one".to_string()]);
-    let changed = inputs::changed(&version, "one", lanes);
+    let version = inputs::version_fields(&["one".to_string()]);
+    let changed = inputs::with_lanes(&version, "one", lanes);
     changed
         .iter()
         .filter_map(|(path, value)| {
--- a/benches/state/src/scopes/catalog.rs
+++ b/benches/state/src/scopes/catalog.rs
@@ -60,7 +60,7 @@
 
 impl CatalogVoter {
     fn new(storage: Option<LogStorage>) -> Result<CatalogVoter, BenchError> {
-        let versions = inputs::version(&["one".to_string()]);
+        let versions = inputs::version_fields(&["one".to_string()]);
         Ok(CatalogVoter {
             voter: SingleVoter::new(versions, storage)?,
             transactions: 0,
@@ -152,7 +152,7 @@
 
 /// The catalog in memory and encoded, and the time of its changes.
 pub(crate) fn catalog(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let names = inputs::names(args.functions, args.seed);
+    let names = inputs::function_names(args.functions, args.seed);
     let growth = MemoryGrowth::begin();
     let mut voter = CatalogVoter::new(None)?;
     voter.fill(&names)?;
@@ -233,7 +233,7 @@
 
 /// A voter's file with the catalog: its bytes, and how long it takes to store a record, a snapshot, and to start from it.
 pub(crate) fn catalog_file(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let names = inputs::names(args.functions, args.seed);
+    let names = inputs::function_names(args.functions, args.seed);
     with_temporary_file("tansy-bench-scopes", |path| {
         measure_file(&names, path, output)
     })
--- a/benches/state/src/scopes/subscription_table.rs
+++ b/benches/state/src/scopes/subscription_table.rs
@@ -63,7 +63,7 @@
 
 /// The subscriptions of all front ends in the leader's table.
 pub(crate) fn subscription_table(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let names = inputs::names(args.functions, args.seed);
+    let names = inputs::function_names(args.functions, args.seed);
     let mut rng = fastrand::Rng::with_seed(args.seed);
     let popularity = FunctionPopularity::new(names.len(), args.seed);
     let growth = MemoryGrowth::begin();
--- a/benches/state/src/scopes/subscriptions.rs
+++ b/benches/state/src/scopes/subscriptions.rs
@@ -38,7 +38,7 @@
 fn fleet_state(names: &[String]) -> FleetState {
     let in_force = VersionedSettings {
         version: Version(1),
-        fields: inputs::version(&["one".to_string()]),
+        fields: inputs::version_fields(&["one".to_string()]),
         reason: "bench".into(),
         id: 1,
     };
@@ -191,7 +191,7 @@
     args: &Args,
     output: &mut OutputRecord,
 ) -> Result<(), BenchError> {
-    let names = inputs::names(args.functions, args.seed);
+    let names = inputs::function_names(args.functions, args.seed);
     let schema = agreement::compatibility_schema();
     let mut order: Vec<&String> = names.iter().collect();
     fastrand::Rng::with_seed(args.seed).shuffle(&mut order);
--- a/benches/state/src/settings_change.rs
+++ b/benches/state/src/settings_change.rs
@@ -138,7 +138,7 @@
 
 /// Proposes another number of lanes for one function.
 fn propose_change(log: &mut Log, function: &str) -> Result<(), BenchError> {
-    let fields = inputs::changed(&log.state().in_force.fields, function, 2);
+    let fields = inputs::with_lanes(&log.state().in_force.fields, function, 2);
     let entry = LogEntry::Propose {
         id: 1,
         base: Version(1),
@@ -170,8 +170,8 @@
 
 /// The phases of a change of one function's lanes: announced, joint, in force.
 pub fn settings_change(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let names = inputs::names(args.functions, args.seed);
-    let fields = inputs::version(&names);
+    let names = inputs::function_names(args.functions, args.seed);
+    let fields = inputs::version_fields(&names);
     let function = &names[args.seed as usize % names.len()];
     let growth = MemoryGrowth::begin();
     let mut preparer = SettingsPreparer::new();
@@ -208,7 +208,7 @@
 
 /// [`Dispatcher::apply_settings`] alone, of settings in which one function differs.
 pub fn apply_settings(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let names = inputs::names(args.functions, args.seed);
+    let names = inputs::function_names(args.functions, args.seed);
     let config = inputs::config(&names, args.front_ends, args.seed);
     let growth = MemoryGrowth::begin();
     let mut dispatcher = new_dispatcher(config.clone())?;
--- a/benches/state/src/single_voter.rs
+++ b/benches/state/src/single_voter.rs
@@ -62,7 +62,7 @@
             incarnation: 1,
             voters: [(1, inputs::address(1, inputs::FLEET_PORT))].into(),
             timing: LeaseTiming {
-                span: inputs::LEASE_SPAN,
+                span: inputs::LEASE_DURATION,
                 drift_ppm: inputs::DRIFT_PPM,
             },
             initial_fields,
--- a/benches/state/src/workers.rs
+++ b/benches/state/src/workers.rs
@@ -16,7 +16,7 @@
 pub(crate) use measurement::worker_load;
 
 use crate::connections::{ConnectionPool, KeepAlivePolicy};
-use crate::inputs::{self, FunctionPopularity, WARM};
+use crate::inputs::{self, FunctionPopularity, INSTANCES_PER_WORKER};
 use crate::measure::Distribution;
 use crate::{Args, BenchError};
 use events::{Event, EventQueue};
@@ -124,8 +124,8 @@
 impl WorkerSimulation {
     /// A fleet without connections, whose workers have no instance.
     pub fn new(args: &Args) -> Result<WorkerSimulation, BenchError> {
-        let function_names = inputs::names(args.functions, args.seed);
-        let workers = args.instances.div_ceil(WARM).max(1);
+        let function_names = inputs::function_names(args.functions, args.seed);
+        let workers = args.instances.div_ceil(INSTANCES_PER_WORKER).max(1);
         let front_ends: Result<Vec<SimulatedFrontEnd>, BenchError> = (0..args.front_ends)
             .map(|index| SimulatedFrontEnd::new(args, index))
             .collect();
@@ -152,7 +152,7 @@
 
     /// Gives each front end the list of workers, and its first call.
     fn list_workers(&mut self) {
-        let listed: Vec<_> = (0..self.workers.len()).map(inputs::listed).collect();
+        let listed: Vec<_> = (0..self.workers.len()).map(inputs::worker_record).collect();
         for front_end in 0..self.front_ends.len() {
             let list = Input::Workers {
                 full: true,
--- a/benches/state/src/workers/front_end.rs
+++ b/benches/state/src/workers/front_end.rs
@@ -127,7 +127,7 @@
                 .or_insert(PendingColdStart::new(number, now));
         }
         let name = &self.function_names[function];
-        let shape = Some(inputs::shape(LANES));
+        let shape = Some(inputs::function_shape(LANES));
         let call = inputs::call(number, name, function % CLASSES, shape);
         let input = Input::Call(call);
         let started = Instant::now();
--- a/benches/state/src/workers/measurement.rs
+++ b/benches/state/src/workers/measurement.rs
@@ -35,7 +35,7 @@
     output.figure("steady_s", seconds(WARM_UP));
     output.figure("measured_s", seconds(MEASURED));
     let shares = simulation.popularity.shares();
-    output.figure("seldom", inputs::seldom(&shares));
+    output.figure("seldom", inputs::rarely_called_share(&shares));
     add_connections(&mut simulation, output);
     add_worker_rates(&simulation, output);
     add_calls(&simulation, output);
--- a/benches/state/src/workers/serving.rs
+++ b/benches/state/src/workers/serving.rs
@@ -4,7 +4,7 @@
 use super::events::{AttemptId, ControlId, ControlRequestKind, Event, WorkerRequest};
 use super::worker::Instance;
 use super::{WorkerSimulation, NETWORK_DELAY, SERVED, UNAVAILABLE, WORK_TIME};
-use crate::inputs::LOAD;
+use crate::inputs::LOAD_TIME;
 use tansy_dispatch::{AttemptOutcome, CacheStatus, NeverRan, Trailers};
 use tansyrouter::Micros;
 
@@ -153,7 +153,7 @@
     fn start_loads(&mut self, worker: usize) {
         while let Some(function) = self.workers[worker].start_load() {
             let event = Event::InstanceLoaded { worker, function };
-            self.queue.schedule(LOAD, event);
+            self.queue.schedule(LOAD_TIME, event);
         }
     }
 
--- a/benches/state/src/workers/worker.rs
+++ b/benches/state/src/workers/worker.rs
@@ -2,7 +2,7 @@
 
 use super::events::WorkerRequest;
 use super::WorkerCounters;
-use crate::inputs::WARM;
+use crate::inputs::INSTANCES_PER_WORKER;
 use std::collections::{HashMap, VecDeque};
 use tansy_dispatch::LoadReport;
 use tansyrouter::Micros;
@@ -12,7 +12,7 @@
 /// Loads that a worker runs at a time, as the sites under `deploy/` set it.
 const MAX_CONCURRENT_LOADS: usize = 4;
 /// Instances that fit into a worker.
-const MAX_INSTANCES: usize = 2 * WARM;
+const MAX_INSTANCES: usize = 2 * INSTANCES_PER_WORKER;
 /// Calls that keep all cores of a worker busy.
 const CALLS_AT_FULL_UTILIZATION: f64 = 8.0;
 
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 use tansy_agreement::log::{LogEntry, Version};
 use tansy_bench_state::messages::{
-    encode_grant, largest_holding, max_functions_of_grant, read_message, state, ReadError,
+    encode_grant, fleet_state, largest_satisfying, max_functions_of_grant, read_message, ReadError,
 };
 use tansy_bench_state::{inputs, measure_in_process, Args, Measurement};
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
@@ -242,13 +242,13 @@
     };
     assert_eq!(counts("1"), counts("1"));
     assert_ne!(counts("1"), counts("2"));
-    assert_eq!(inputs::names(9, 1), inputs::names(9, 1));
-    assert_ne!(inputs::names(9, 1), inputs::names(9, 2));
+    assert_eq!(inputs::function_names(9, 1), inputs::function_names(9, 1));
+    assert_ne!(inputs::function_names(9, 1), inputs::function_names(9, 2));
 }
 
 #[test]
 fn the_version_is_what_a_settings_file_gives() {
-    let version = inputs::version(&inputs::names(30, 3));
+    let version = inputs::version_fields(&inputs::function_names(30, 3));
     let text = agreement::to_text(&version);
     assert_eq!(
         agreement::parse_version("bench.cue", &text).expect("right settings"),
@@ -265,7 +265,7 @@
 fn bytes_are_those_of_the_real_encodings_and_grow_with_functions() {
     let mut before = [0; 3];
     for functions in [50, 100, 200] {
-        let names = inputs::names(functions, 2);
+        let names = inputs::function_names(functions, 2);
         let args = |measurement| Args {
             functions,
             seed: 2,
@@ -278,14 +278,14 @@
         );
         assert_eq!(
             count(&letter, "letter_bytes"),
-            encode_grant(state(&names, true)).len() as u64
+            encode_grant(fleet_state(&names, true)).len() as u64
         );
         assert_eq!(
             count(&letter, "force_bytes"),
-            encode_grant(state(&names, false)).len() as u64
+            encode_grant(fleet_state(&names, false)).len() as u64
         );
         // A record holds the proposal, and little else.
-        let fields = inputs::changed(&inputs::version(&names), &names[0], 2);
+        let fields = inputs::with_lanes(&inputs::version_fields(&names), &names[0], 2);
         let entry = LogEntry::Propose {
             id: 1,
             base: Version(1),
@@ -339,7 +339,8 @@
 #[test]
 fn no_front_end_can_read_a_grant_of_one_function_more_than_the_most() {
     let most = max_functions_of_grant(1, true);
-    let message = |functions| encode_grant(state(&inputs::names(functions, 1), true));
+    let message =
+        |functions| encode_grant(fleet_state(&inputs::function_names(functions, 1), true));
     let (under, over) = (message(most), message(most + 1));
     assert!(
         under.len() <= MAX_MESSAGE_BYTES && over.len() > MAX_MESSAGE_BYTES,
@@ -357,7 +358,7 @@
 #[test]
 fn the_largest_number_is_found_from_either_side() {
     for limit in [0, 1, 2, 3, 7, 8, 9, 1000] {
-        assert_eq!(largest_holding(|number| number <= limit), limit);
+        assert_eq!(largest_satisfying(|number| number <= limit), limit);
     }
 }
 
