--- a/benches/state/src/drain_table.rs
+++ b/benches/state/src/drain_table.rs
@@ -1,4 +1,4 @@
-//! Workers that leave, as every front end remembers them for a day, and the exchange of what another one lacks.
+//! The table of drained workers that every front end keeps for a day, and the messages that synchronize it.
 
 use crate::endpoint_lists::{incarnation, worker_address};
 use crate::inputs;
@@ -13,10 +13,10 @@
 use tansyrouter::SECOND;
 
 const FLEET: u64 = 7;
-/// The last workers that leave, each of which is reported alone.
+/// Number of workers, the last ones, whose departure is reported individually.
 const SINGLE_UPDATES: usize = 100;
 
-fn departed(number: usize, rng: &mut fastrand::Rng) -> EndpointRecord {
+fn departed_worker(number: usize, rng: &mut fastrand::Rng) -> EndpointRecord {
     EndpointRecord {
         endpoint: Endpoint {
             name: inputs::worker_name(number),
@@ -31,7 +31,7 @@
     NodeId::new(1, 1, worker_address(0))
 }
 
-/// The table in memory, and the messages that front ends exchange of it.
+/// Measures the table in memory, and the messages that front ends exchange to synchronize it.
 fn add_table(records: &[EndpointRecord], output: &mut OutputRecord) {
     let growth = MemoryGrowth::begin();
     let mut table = DrainTable::default();
@@ -66,7 +66,7 @@
     FleetNode::new(config, None, 0).map_err(|e| BenchError::failed("a front end", e))
 }
 
-/// A front end takes the last records one by one, with a digest of all after each, and then the whole list again.
+/// Times a front end's updates: each of the last records individually, then the full list again.
 fn add_updates(
     records: &[EndpointRecord],
     seed: u64,
@@ -87,11 +87,11 @@
     Ok(())
 }
 
-/// Workers that leave: the table of them, and what a front end does at each.
+/// Measures the table of drained workers and a front end's work for each departure.
 pub fn drain_table(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let mut rng = fastrand::Rng::with_seed(args.seed);
     let records: Vec<EndpointRecord> = (0..args.instances)
-        .map(|number| departed(number, &mut rng))
+        .map(|number| departed_worker(number, &mut rng))
         .collect();
     add_table(&records, output);
     add_updates(&records, args.seed, output)?;
--- a/benches/state/src/endpoint_lists.rs
+++ b/benches/state/src/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of workers: the text of one, the dispatcher's copy, and the platform's replies.
+//! Worker lists: as a settings file, in the dispatcher, and in the platform's replies.
 
 use crate::inputs::{self, worker_name, worker_record};
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
@@ -9,10 +9,11 @@
 use tansy_platform::{EndpointList, EndpointUpdates};
 use tansyrouter::{Micros, Time};
 
-/// The port of workers.
+/// Port of all workers.
 const WORKER_PORT: u16 = 8001;
-/// Timer ticks that are measured after the list's updates, and the time between them.
+/// Number of timer ticks measured after the updates of the list.
 const TICKS: usize = 200;
+/// Virtual time between two timer ticks.
 const TICK_INTERVAL: Micros = 20_000;
 
 /// The address of a worker.
@@ -20,12 +21,12 @@
     inputs::address(number, WORKER_PORT)
 }
 
-/// A worker's incarnation: microseconds since 1970, between 2023 and 2030.
+/// A random incarnation of a worker: microseconds since 1970, between 2023 and 2030.
 pub(crate) fn incarnation(rng: &mut fastrand::Rng) -> u64 {
     rng.u64(1_700_000_000_000_000..1_900_000_000_000_000)
 }
 
-/// The file of a list of workers.
+/// The text of a settings file with a list of workers.
 fn list_file(workers: usize, seed: u64) -> String {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut text = String::from("workers: [\n");
@@ -41,13 +42,13 @@
     text + "]\n"
 }
 
-/// The file, read as the gateway reads it.
+/// Measures reading a worker list file as the gateway does.
 pub fn endpoint_list_file(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let text = list_file(args.instances, args.seed);
     let zones = ["local".to_string()];
     let growth = MemoryGrowth::begin();
     let (read, took) = timed(|| tansy_settings::parse_workers("workers.cue", &text, &zones, 0));
-    let workers = read.map_err(|e| BenchError::failed("the list", e))?;
+    let workers = read.map_err(|e| BenchError::failed("the worker list", e))?;
     output.count("file_bytes", text.len());
     output.figure("read_ms", ms(took));
     output.figure("memory_mb", growth.mb());
@@ -59,7 +60,7 @@
     Ok(())
 }
 
-/// The whole list but for one worker.
+/// A full worker list without the worker `skipped`.
 fn list_without(workers: usize, skipped: Option<usize>) -> Input {
     let workers = (0..workers).filter(|number| Some(*number) != skipped);
     Input::Workers {
@@ -68,7 +69,7 @@
     }
 }
 
-/// The list as the dispatcher and the decision module store it.
+/// Measures updates of the worker list in the dispatcher and the decision module.
 pub fn endpoint_list_update(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::function_names(args.functions, args.seed);
     let config = inputs::config(&names, args.front_ends, args.seed);
@@ -113,7 +114,7 @@
     times
 }
 
-/// The coordinator's reply with the whole list.
+/// The platform coordinator's reply with the full list.
 fn platform_reply(workers: usize) -> String {
     let mut text =
         String::from(r#"{"index":1,"updates":[{"index":1,"endpoints":{"full":true,"servers":["#);
@@ -129,13 +130,13 @@
     text
 }
 
-/// The list as the platform's coordinator sends it.
+/// Measures reading and applying the list as sent by the platform's coordinator.
 pub fn platform_list(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let text = platform_reply(args.instances);
     let growth = MemoryGrowth::begin();
     let (read, took) = timed(|| serde_json::from_str::<EndpointUpdates>(&text));
     output.figure("read_ms", ms(took));
-    let updates = read.map_err(|e| BenchError::failed("the reply", e))?;
+    let updates = read.map_err(|e| BenchError::failed("the coordinator's reply", e))?;
     let mut list = EndpointList::new(vec!["local".into()], Vec::new());
     let (changes, took) = timed(|| list.apply(&updates, 0.0));
     output.figure("take_ms", ms(took));
--- a/benches/state/src/membership.rs
+++ b/benches/state/src/membership.rs
@@ -1,4 +1,4 @@
-//! What grows with the members of a fleet: membership as one front end knows it, and the lease tree made of it.
+//! State that grows with the members of a fleet: membership as one front end knows it, and the lease tree built from it.
 
 use crate::measure::{timed, Distribution, MemoryGrowth, OutputRecord};
 use crate::{inputs, Args, BenchError};
@@ -8,21 +8,21 @@
 use tansyrouter::{Micros, SECOND};
 
 const FLEET: u64 = 7;
-/// The last front ends that join, whose cost is measured.
+/// Number of joins that are timed: the last ones.
 const MEASURED_JOINS: usize = 200;
 /// Virtual time between two joins.
 const JOIN_INTERVAL: Micros = 1000;
-/// Virtual time of probes.
-const PROBED: Micros = 30 * SECOND;
-/// The leader's number, which is the measured front end's.
+/// Virtual time for which probes run.
+const PROBE_PERIOD: Micros = 30 * SECOND;
+/// Identifier of the leader, which is the measured front end.
 pub(crate) const LEADER: u64 = 1;
-/// The measured front end's address, beyond those of the others.
+/// Address number of the measured front end, higher than those of the others.
 const LOCAL_ADDRESS: usize = 1 << 23;
-/// Trees that are made of the same membership.
+/// Number of lease trees built from the same membership.
 const TOPOLOGIES: u32 = 50;
-/// Front ends whose way to the leader is looked up.
+/// Number of front ends whose path to the leader is looked up.
 const LOOKUPS: usize = 200;
-/// No way to the leader has as many links.
+/// Upper bound for the length of a path to the leader.
 const MAX_LINKS: u32 = 64;
 
 fn node(number: usize, seed: u64) -> NodeId {
@@ -30,7 +30,7 @@
     NodeId::new(inputs::member_id(number, seed), 1, address)
 }
 
-/// One front end among others, each of which exists only for as long as it writes or answers.
+/// The membership of the measured front end. Other front ends are simulated only while they send or answer a datagram.
 struct LocalMembership {
     membership: Membership,
     timing: GossipTiming,
@@ -60,27 +60,27 @@
         Membership::new(FLEET, node, self.timing, self.seed)
     }
 
-    /// Another front end joins; how long that took here.
+    /// Joins another front end; returns the time that the measured one spent.
     fn join(&mut self, now: Micros, number: usize) -> Result<Duration, BenchError> {
         let mut other = self.other(node(number, self.seed));
         other.join(now, self.membership.local().clone());
         let mut total = Duration::ZERO;
         for datagram in other.take_datagrams() {
             let (read, took) = timed(|| self.membership.on_datagram(now, &datagram.bytes));
-            read.map_err(|e| BenchError::failed("a datagram", e))?;
+            read.map_err(|e| BenchError::failed("reading a datagram", e))?;
             total += took;
         }
         self.membership.take_datagrams();
         Ok(total)
     }
 
-    /// The datagrams that it sends are answered by their receivers.
+    /// Delivers the datagrams that the measured front end sent, and the answers to them.
     fn exchange_datagrams(&mut self, now: Micros) {
         for datagram in self.membership.take_datagrams() {
             self.sent_bytes += datagram.bytes.len();
             self.sent_datagrams += 1;
             let mut other = self.other(datagram.to);
-            // A receiver that does not know the sender yet answers all the same.
+            // A receiver that does not know the sender returns an error, but still answers.
             let _ = other.on_datagram(now, &datagram.bytes);
             let answers = other.take_datagrams().into_iter();
             for answer in answers.filter(|answer| answer.to.id == LEADER) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// All others join, one after the other; the times of the last joins, and the moment at the end.
+    /// Joins all other front ends in turn; returns the times of the last joins and the final virtual time.
     fn join_all(&mut self, front_ends: usize) -> Result<(Distribution, Micros), BenchError> {
         let others = front_ends.saturating_sub(1);
         let measured = MEASURED_JOINS.min(front_ends / 2);
@@ -106,10 +106,10 @@
         Ok((times, now))
     }
 
-    /// Probes that are answered, with the membership events that are spread meanwhile; the times of timers.
+    /// Runs answered probes, which also spread membership events; returns the times of timer ticks.
     fn probe(&mut self, mut now: Micros) -> Distribution {
         let mut times = Distribution::default();
-        let end = now + PROBED;
+        let end = now + PROBE_PERIOD;
         while let Some(due) = self.membership.next_deadline().filter(|due| *due <= end) {
             now = now.max(due);
             let ((), took) = timed(|| self.membership.tick(now));
@@ -120,7 +120,7 @@
     }
 }
 
-/// Membership as one front end knows it.
+/// Measures joins, probes and lease trees of one front end's membership.
 pub fn membership(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let growth = MemoryGrowth::begin();
     let mut local = LocalMembership::new(args.front_ends, args.seed);
@@ -130,7 +130,7 @@
     output.figure("memory_mb", growth.mb());
     output.insert("join_us", join_times.us());
     let timer_times = local.probe(now);
-    let seconds = PROBED as f64 / 1e6;
+    let seconds = PROBE_PERIOD as f64 / 1e6;
     output.insert("tick_us", timer_times.us());
     output.figure("datagrams_s", local.sent_datagrams as f64 / seconds);
     output.figure("datagram_bytes_s", local.sent_bytes as f64 / seconds);
@@ -141,7 +141,7 @@
     Ok(())
 }
 
-/// What a front end does at each membership event: it makes the lease tree, compares it, and looks for its granter.
+/// Times the work of each membership event: building the lease tree, comparing it, and finding the granting member.
 fn add_topologies(
     membership: &Membership,
     seed: u64,
@@ -163,8 +163,8 @@
         parent_times.add(took);
         if !is_same || parent.is_none() {
             return Err(BenchError::failed(
-                "the view",
-                "it changed, or the front end isn't in it",
+                "lease tree",
+                "the tree changed, or does not contain the front end",
             ));
         }
         current = next;
@@ -175,13 +175,13 @@
     Ok(())
 }
 
-/// Links from a front end to the leader, each of which a revision takes.
+/// Number of links from a front end to the leader, each of which a new revision traverses.
 fn links_to_leader(topology: &LeaseTopology, front_end: u64) -> usize {
     let leads_elsewhere = |choice: &u32| topology.ancestor(front_end, *choice) != Some(LEADER);
     (0..MAX_LINKS).take_while(leads_elsewhere).count() + 1
 }
 
-/// [`LeaseTopology`] alone, of front ends that are at hand.
+/// Measures [`LeaseTopology`] alone, built from a given list of front ends.
 pub fn lease_topology(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let front_ends: Vec<u64> = (0..args.front_ends)
         .map(|number| inputs::member_id(number, args.seed))
--- a/benches/state/src/replicated_log.rs
+++ b/benches/state/src/replicated_log.rs
@@ -1,4 +1,4 @@
-//! The replicated log at a voter, in memory and encoded, and the voter's file.
+//! The replicated log at a voter, in memory and encoded, and the voter's log file.
 
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
 use crate::messages::largest_satisfying;
@@ -10,10 +10,10 @@
 use tansy_fleet_wire::{encode_settings, pb, MAX_MESSAGE_BYTES};
 use tansy_storage::voter_log::LogStorage;
 
-/// Entries that advance a change from its proposal to its being in force.
+/// Entries that bring a proposed change into force.
 const ADVANCES: usize = 2;
 
-/// The n-th change of one function, through all its phases; bytes of the record with the proposal.
+/// Runs the n-th change through all phases; returns the size of the record with the proposal.
 fn change(
     voter: &mut SingleVoter,
     function_names: &[String],
@@ -22,7 +22,7 @@
     let in_force = &voter.log()?.state().in_force;
     let base = in_force.version;
     let name = &function_names[number % function_names.len()];
-    // Another value than that of the last change of this function.
+    // Differs from the value that the last change of this function set.
     let value = 2 + (number / function_names.len()) as i64;
     let fields = inputs::with_lanes(&in_force.fields, name, value);
     voter.append(LogEntry::Propose {
@@ -39,7 +39,7 @@
     Ok(proposal_bytes)
 }
 
-/// Bytes of all versions that a log remembers, as an operator's request for the history returns them.
+/// Size of the reply to a history request, which contains all versions that the log keeps.
 fn history_bytes(log: &Log) -> usize {
     let reply = pb::HistoryReply {
         versions: log.history().map(encode_settings).collect(),
@@ -49,7 +49,7 @@
     reply.encoded_len()
 }
 
-/// The replicated log with as many past versions as a voter keeps, in memory and encoded.
+/// Measures the replicated log with the version history that a voter keeps, in memory and encoded.
 pub fn replicated_log(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let function_names = inputs::function_names(args.functions, args.seed);
     let growth = MemoryGrowth::begin();
@@ -90,7 +90,7 @@
     }
 }
 
-/// The most functions for which the log, with as many versions as a voter keeps, fits into one message.
+/// The maximum number of functions for which the log with a full version history fits into one message.
 pub(crate) fn max_functions_of_log(seed: u64) -> usize {
     largest_satisfying(|functions| {
         let log = full_log(&inputs::function_names(functions, seed));
@@ -98,7 +98,7 @@
     })
 }
 
-/// A log with as many versions as a voter keeps.
+/// A log with a full version history.
 fn full_log(function_names: &[String]) -> Log {
     let first = inputs::version_fields(function_names);
     let address = inputs::address(1, inputs::FLEET_PORT);
@@ -120,12 +120,12 @@
     log
 }
 
-/// How a voter's file grows by changes.
+/// Measures how a voter's log file grows with changes.
 pub fn voter_file(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     with_temporary_file("tansy-bench-state", |path| grow_file(args, path, output))
 }
 
-/// Runs an operation with the path of a file, which is removed afterwards.
+/// Runs an operation with the path of a temporary file, which is removed afterwards.
 pub(crate) fn with_temporary_file<T>(prefix: &str, operation: impl FnOnce(&Path) -> T) -> T {
     let name = format!("{prefix}-{}.redb", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -134,7 +134,7 @@
     result
 }
 
-/// Bytes of a file; 0 without one.
+/// Size of a file; 0 if it does not exist.
 pub(crate) fn file_bytes(path: &Path) -> usize {
     std::fs::metadata(path).map_or(0, |metadata| metadata.len() as usize)
 }
--- a/benches/state/src/roster.rs
+++ b/benches/state/src/roster.rs
@@ -1,4 +1,4 @@
-//! The roster of front ends in the replicated log, and the leader's sessions with them.
+//! The roster of front ends in the replicated log, and the leader's sessions with front ends.
 
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
 use crate::membership::LEADER;
@@ -9,18 +9,18 @@
 use tansy_agreement::log::{EntryRejection, Log, LogEntry, Revision, MAX_MEMBERS};
 use tansy_agreement::session::{SessionRequest, SessionTable};
 
-/// How often the table of sessions is checked.
+/// Number of timed checks of the session table.
 const CHECKS: i64 = 200;
-/// Front ends that restart and join again.
+/// Number of front ends that restart and rejoin.
 const REJOINS: usize = 200;
 
-/// The roster of the log, and the sessions that the leader grants.
+/// Measures joins to the roster, and the leader's session grants, checks and rejoins.
 pub fn roster(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let growth = MemoryGrowth::begin();
     let log = add_joins(args, &growth, output)?;
     let (encoded_bytes, took) = timed(|| postcard::to_stdvec(&log).map_or(0, |bytes| bytes.len()));
     output.count("log_bytes", encoded_bytes);
-    // The log is encoded again after every 32 entries.
+    // The cost of a snapshot, which a voter makes after every 32 entries.
     output.figure("encode_ms", ms(took));
     let sessions_growth = MemoryGrowth::begin();
     let members: Vec<Member> = log.roster().map(|(member, _)| member).collect();
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// All front ends join; the log with those for which the roster had room.
+/// Adds all front ends to the roster, up to its limit, and returns the log.
 fn add_joins(
     args: &Args,
     growth: &MemoryGrowth,
@@ -55,7 +55,7 @@
         match joined {
             Ok(_) => {}
             Err(EntryRejection::TooManyMembers) => rejected += 1,
-            Err(rejection) => return Err(BenchError::failed("a front end that joins", rejection)),
+            Err(rejection) => return Err(BenchError::failed("joining a front end", rejection)),
         }
     }
     output.figure("memory_mb", growth.mb());
@@ -89,8 +89,8 @@
         times.add(took);
         if granted.is_none() {
             return Err(BenchError::failed(
-                "a session",
-                "one on the roster got none",
+                "granting a session",
+                "a member of the roster was refused",
             ));
         }
     }
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// What the leader checks every 50 ms.
+/// Times the check of all sessions, which the leader runs every 50 ms.
 fn add_checks(sessions: &SessionTable, output: &mut OutputRecord) {
     let mut times = Distribution::default();
     for now in 0..CHECKS {
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -1,5 +1,5 @@
-//! Settings of functions that are agreed on one by one, each a scope: the catalog at a voter, a front end's subscriptions, and
-//! the leader's table of them.
+//! Settings scopes, one per function: the catalog at a voter, a front end's subscriptions, and the leader's subscription
+//! table.
 
 mod catalog;
 mod subscription_table;
@@ -12,10 +12,10 @@
 use crate::inputs;
 use tansy_agreement::compatibility::Fields;
 
-/// Changes that are requested within one minute at the most.
+/// Maximum number of changes requested within one minute.
 const BURST: usize = 500;
 
-/// What a scope holds of a function: the four fields of [`inputs::version_fields`].
+/// The fields of a function's scope: the four that [`inputs::version_fields`] has for each function.
 fn scope_fields(lanes: i64) -> Fields {
     let version = inputs::version_fields(&["one".to_string()]);
     let changed = inputs::with_lanes(&version, "one", lanes);
--- a/benches/state/src/scopes/catalog.rs
+++ b/benches/state/src/scopes/catalog.rs
@@ -1,4 +1,4 @@
-//! The catalog at a voter: memory, bytes as it is sent and stored, and the time of a change, of a burst and of encoding it.
+//! The scope catalog at a voter: memory, encoded size, and the time of a change, a burst of changes and encoding.
 
 use super::{scope_fields, BURST};
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
@@ -14,9 +14,9 @@
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use tansy_storage::voter_log::LogStorage;
 
-/// Changes of one function that are timed.
+/// Number of timed changes of a single function.
 const CHANGES: usize = 100;
-/// No update of one function takes more bytes of a transaction than this.
+/// Upper bound for the size of a function's update in a transaction.
 const MAX_UPDATE_BYTES: usize = 160;
 
 fn update(log: &Log, name: &str, lanes: i64) -> ScopeUpdate {
@@ -28,20 +28,20 @@
     }
 }
 
-/// A voter whose functions are all in the catalog; the versions have their classes and one function.
+/// A voter that keeps all functions in the catalog. Its settings versions contain only the classes and one function.
 struct CatalogVoter {
     voter: SingleVoter,
     transactions: u64,
 }
 
-/// The entries of a change: joint, in force, settled.
-const ENTRIES: usize = 3;
+/// Log entries per change: joint, in force, settled.
+const ENTRIES_PER_CHANGE: usize = 3;
 
-/// What a change cost.
+/// Cost of a change.
 struct ChangeCost {
     /// Time of each entry.
-    times: [Duration; ENTRIES],
-    /// Bytes of the first entry's record.
+    times: [Duration; ENTRIES_PER_CHANGE],
+    /// Size of the first entry's record.
     entry_bytes: usize,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Which phase the open scopes leave by an entry.
+/// A phase transition of unsettled scopes.
 #[derive(Clone, Copy)]
 enum Advance {
     JointToInForce,
@@ -71,7 +71,7 @@
         self.voter.log()
     }
 
-    /// These functions change in one transaction, through all phases.
+    /// Changes functions in one transaction, through all phases.
     fn change(&mut self, names: &[&String], lanes: i64) -> Result<ChangeCost, BenchError> {
         let joint = self.append_transaction(names, lanes)?;
         let entry_bytes = self.voter.writes.record_bytes;
@@ -80,7 +80,7 @@
         if (in_force, settled) != (names.len(), names.len()) {
             return Err(BenchError::failed(
                 "the change",
-                format!("{in_force} came in force, {settled} were settled"),
+                format!("{in_force} scopes came into force and {settled} were settled"),
             ));
         }
         Ok(ChangeCost {
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Validates and appends a transaction; how long both took.
+    /// Validates and appends a transaction; returns the time for both.
     fn append_transaction(
         &mut self,
         names: &[&String],
@@ -103,7 +103,7 @@
             reason: "bench".into(),
         };
         let (validated, validating) = timed(|| log.validate_transaction(&transaction));
-        validated.map_err(|e| BenchError::failed("the change", e))?;
+        validated.map_err(|e| BenchError::failed("validating the transaction", e))?;
         let entry = LogEntry::UpdateScopes {
             transactions: vec![transaction],
         };
@@ -112,7 +112,7 @@
         Ok(validating + appending)
     }
 
-    /// Advances all scopes of one phase; how many, and how long it took.
+    /// Advances all scopes of one phase; returns their number and the time taken.
     fn advance(&mut self, advance: Advance) -> Result<(usize, Duration), BenchError> {
         let is_joint = matches!(advance, Advance::JointToInForce);
         let scopes: Vec<(String, Revision)> = self
@@ -133,7 +133,7 @@
         Ok((count, took))
     }
 
-    /// Creates all functions.
+    /// Creates the scopes of all functions.
     fn fill(&mut self, names: &[String]) -> Result<(), BenchError> {
         for batch in names.chunks(MAX_TRANSACTION_BYTES / MAX_UPDATE_BYTES) {
             let batch: Vec<&String> = batch.iter().collect();
@@ -143,14 +143,14 @@
     }
 }
 
-/// The log as a voter sends and stores it: what `decide/consensus` makes of it, but for eleven bytes before.
+/// Encodes the log as `decide/consensus` does for messages and storage, without the eleven bytes that precede it there.
 fn encode(log: &Log) -> Vec<u8> {
     log.catalog_snapshot()
         .and_then(|catalog| postcard::to_stdvec(&(log, catalog)).ok())
         .unwrap_or_default()
 }
 
-/// The catalog in memory and encoded, and the time of its changes.
+/// Measures the catalog in memory and encoded, and the time of changes.
 pub(crate) fn catalog(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::function_names(args.functions, args.seed);
     let growth = MemoryGrowth::begin();
@@ -168,7 +168,7 @@
     add_encoding(voter.log()?, args.functions, output)
 }
 
-/// Changes of one function at a time, and how often the whole log was encoded meanwhile.
+/// Measures changes of a single function, and how often the whole log is encoded during these.
 fn add_changes(
     voter: &mut CatalogVoter,
     names: &[String],
@@ -176,7 +176,7 @@
     output: &mut OutputRecord,
 ) -> Result<(), BenchError> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut entry_times: [Distribution; ENTRIES] = Default::default();
+    let mut entry_times: [Distribution; ENTRIES_PER_CHANGE] = Default::default();
     let mut change_times = Distribution::default();
     let (mut encodings, mut entry_bytes) = (0, 0);
     let mut snapshot_index = voter.voter.snapshot_index();
@@ -202,7 +202,7 @@
     Ok(())
 }
 
-/// The log's copy in memory, its bytes, and the time to write and read them.
+/// Measures a copy of the log in memory, its encoded size, and the time to encode and decode it.
 fn add_encoding(log: &Log, functions: usize, output: &mut OutputRecord) -> Result<(), BenchError> {
     let growth = MemoryGrowth::begin();
     let copy = log.clone();
@@ -218,7 +218,7 @@
     if decoded.with_catalog(catalog) != *log {
         return Err(BenchError::failed(
             "the log",
-            "it is read as another one than was written",
+            "the decoded log differs from the encoded one",
         ));
     }
     output.count("moves_bytes", log.state().history.memory_bytes());
@@ -231,7 +231,7 @@
     Ok(())
 }
 
-/// A voter's file with the catalog: its bytes, and how long it takes to store a record, a snapshot, and to start from it.
+/// Measures a voter's log file with the catalog: its size, and the time to store a record, store a snapshot, and recover.
 pub(crate) fn catalog_file(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::function_names(args.functions, args.seed);
     with_temporary_file("tansy-bench-scopes", |path| {
@@ -267,13 +267,13 @@
     if recovered_scopes != scopes {
         return Err(BenchError::failed(
             "the voter's file",
-            "another catalog is in it",
+            "the recovered catalog has a different number of scopes",
         ));
     }
     Ok(())
 }
 
-/// Changes functions until the next snapshot, which contains all of them.
+/// Changes functions until the next snapshot, which contains the whole catalog.
 fn change_until_snapshot(voter: &mut CatalogVoter, names: &[String]) -> Result<(), BenchError> {
     let before = voter.voter.writes.snapshots;
     let mut change = 0;
--- a/benches/state/src/scopes/subscription_table.rs
+++ b/benches/state/src/scopes/subscription_table.rs
@@ -1,5 +1,5 @@
-//! The leader's table of subscriptions: its memory, the time to take one request, all that a new leader is sent, and to find
-//! whom a change waits for.
+//! The leader's subscription table: memory, and the time to process a request, to process the full lists sent to a new leader,
+//! and to find the subscribers that a change waits for.
 
 use crate::inputs::{self, FunctionPopularity};
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
@@ -12,16 +12,16 @@
 use tansy_agreement::session::{SessionRequest, SessionTable, SubscribeOutcome};
 use tansy_agreement::subscription::SubscribeRequest;
 
-/// The revision of the state: later than any change of a function.
+/// Revision of the state, later than any change of a function.
 const REVISION: Revision = Revision(1 << 20);
-/// Front ends that subscribe to one function more.
+/// Number of front ends that subscribe to one more function.
 const ADDED_SUBSCRIPTIONS: usize = 2_000;
-/// Functions that are looked up.
+/// Number of functions whose subscribers are looked up.
 const LOOKUPS: usize = 5_000;
-/// Front ends that are removed.
+/// Number of front ends that are removed.
 const REMOVALS: usize = 200;
 
-/// Which functions a front end subscribes to: popular ones, as nearly all do, and any others.
+/// Draws the functions that a front end subscribes to: half by popularity, half uniformly.
 fn draw_subscriptions(
     count: usize,
     functions: usize,
@@ -52,16 +52,22 @@
     }
 }
 
-/// Takes a request; how long that took.
-fn take(table: &mut SessionTable, request: &SubscribeRequest) -> Result<Duration, BenchError> {
+/// Processes a request and returns the time taken.
+fn process_request(
+    table: &mut SessionTable,
+    request: &SubscribeRequest,
+) -> Result<Duration, BenchError> {
     let (outcome, took) = timed(|| table.on_subscribe(request));
     match outcome {
         SubscribeOutcome::Accepted => Ok(took),
-        other => Err(BenchError::failed("a message", format!("{other:?}"))),
+        other => Err(BenchError::failed(
+            "a subscribe request",
+            format!("{other:?}"),
+        )),
     }
 }
 
-/// The subscriptions of all front ends in the leader's table.
+/// Measures the leader's table with the subscriptions of all front ends.
 pub(crate) fn subscription_table(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::function_names(args.functions, args.seed);
     let mut rng = fastrand::Rng::with_seed(args.seed);
@@ -95,7 +101,7 @@
     Ok(())
 }
 
-/// All front ends send a new leader the list of their subscriptions, which it takes while it does nothing else.
+/// Times processing the full subscription lists that all front ends send to a new leader.
 fn add_full_lists(
     args: &Args,
     names: &[String],
@@ -124,7 +130,7 @@
             full_list: Some(full_list),
             ..subscribe_request(table, *from, 1)
         };
-        let took = take(table, &request)?;
+        let took = process_request(table, &request)?;
         times.add(took);
         total += took;
     }
@@ -135,7 +141,7 @@
     Ok(())
 }
 
-/// Some front ends subscribe to one function more.
+/// Times requests that subscribe to one more function.
 fn add_requests(
     names: &[String],
     members: &[Member],
@@ -149,13 +155,13 @@
             scopes: vec![names[rng.usize(..names.len())].clone()],
             ..subscribe_request(table, *from, 2)
         };
-        times.add(take(table, &request)?);
+        times.add(process_request(table, &request)?);
     }
     output.insert("want_us", times.us());
     Ok(())
 }
 
-/// Whom a change waits for: of any function, and of the one with most subscribers.
+/// Times the lookup of subscribers that a change waits for: of various functions, and of the one with the most subscribers.
 fn add_lookups(names: &[String], table: &SessionTable, output: &mut OutputRecord) {
     let after = REVISION.next();
     let subscribers = |name: &str| table.subscribers_behind(scope_number(name), after).count();
--- a/benches/state/src/scopes/subscriptions.rs
+++ b/benches/state/src/scopes/subscriptions.rs
@@ -1,5 +1,5 @@
-//! A front end that subscribes to some functions of all: its memory, and the time of a call, of a first call with its
-//! subscription, and of changes.
+//! A front end that subscribes to a subset of all functions: memory, and the time to admit a call, to subscribe at a
+//! function's first call, and to apply changes.
 
 use super::{scope_fields, BURST};
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
@@ -16,14 +16,15 @@
 use tansy_settings::agreement;
 use tansyrouter::{Micros, SECOND};
 
-/// Calls of subscribed functions that are timed.
+/// Number of timed calls of subscribed functions.
 const CALLS: usize = 20_000;
-/// Subscriptions beyond those that fit, each of which evicts one.
-const SUBSCRIPTIONS_OVER: usize = 200;
+/// Number of timed subscriptions that are added after the requested ones.
+const ADDITIONAL_SUBSCRIPTIONS: usize = 200;
 /// Virtual time between two first calls.
 const FIRST_CALL_INTERVAL: Micros = SECOND / 10;
-/// Ticks in which a first call has to be answered, and the time between them.
+/// Number of ticks within which a first call must be answered.
 const MAX_TICKS: i64 = 20;
+/// Virtual time between two ticks.
 const TICK_INTERVAL: Micros = SECOND / 1000;
 
 fn scope_record(revision: Revision, lanes: i64) -> ScopeRecord {
@@ -54,7 +55,7 @@
     after_changes(state, names, MAX_HISTORY)
 }
 
-/// The state after so many changes, each with a revision of its own.
+/// The state after `changes` changes, each with its own revision.
 fn after_changes(mut state: FleetState, names: &[String], changes: usize) -> FleetState {
     let from = state.revision;
     let change = |number: usize| {
@@ -80,7 +81,7 @@
 }
 
 impl Subscriber {
-    /// A front end that has learned the state and begun an epoch with the leader.
+    /// Creates a front end that has the state and has begun a resync epoch with the leader.
     fn new(state: FleetState, schema: Schema, seed: u64) -> Subscriber {
         let member = inputs::member(1, seed);
         let mut subscriptions = ScopeSubscriptions::new(member, SubscriptionLimits::default(), 0);
@@ -105,7 +106,7 @@
         self.subscriptions.admit(now, &self.schema, name, true)
     }
 
-    /// First calls of these functions, each with its subscription; how long each took.
+    /// Makes a first call to each function, which subscribes to it; returns the times.
     fn subscribe<'a>(
         &mut self,
         names: impl Iterator<Item = &'a String>,
@@ -120,7 +121,7 @@
         Ok(times)
     }
 
-    /// A first call, with the subscription and its answer.
+    /// Makes a first call: subscribes, processes the reply, and admits the call.
     fn first_call(&mut self, name: &str) -> Result<(), BenchError> {
         self.admit(self.now, name);
         for tick in 0..MAX_TICKS {
@@ -136,10 +137,13 @@
                 return Ok(());
             }
         }
-        Err(BenchError::failed("a first call", "it was not answered"))
+        Err(BenchError::failed(
+            "a first call",
+            "the call was not admitted in time",
+        ))
     }
 
-    /// Calls of subscribed functions; how long each took to admit.
+    /// Calls subscribed functions; returns the times to admit each call.
     fn call(&mut self, names: &[&String]) -> Result<Distribution, BenchError> {
         let mut times = Distribution::default();
         for call in 0..CALLS {
@@ -150,21 +154,21 @@
             if !matches!(admission, Admission::Admit(_)) {
                 return Err(BenchError::failed(
                     "a call",
-                    format!("of a function that is subscribed to: {admission:?}"),
+                    format!("a subscribed function was not admitted: {admission:?}"),
                 ));
             }
         }
         Ok(times)
     }
 
-    /// Takes a changed state; how long that took.
+    /// Applies a changed state and returns the time taken.
     fn update(&mut self, state: &FleetState) -> Duration {
         let (now, schema) = (self.now, &self.schema);
         let ((), took) = timed(|| self.subscriptions.on_state(now, state, schema));
         took
     }
 
-    /// A new leader is sent the list of all subscriptions: how many, and how long it takes to make.
+    /// Builds the full subscription list for a new leader; returns its length and the time taken.
     fn resync(&mut self, revision: Revision) -> (usize, Duration) {
         self.subscriptions.on_new_leader(self.now);
         self.now += SECOND;
@@ -186,7 +190,7 @@
     }
 }
 
-/// A front end's subscriptions: its memory, and the time of calls, subscriptions and changes.
+/// Measures a front end's subscriptions: memory, and the time of calls, subscriptions and changes.
 pub(crate) fn scope_subscriptions(
     args: &Args,
     output: &mut OutputRecord,
@@ -206,10 +210,10 @@
     output.figure("memory_mb", growth.mb());
     output.insert("ask_us", subscribe_times.us());
     output.insert("call_us", subscriber.call(subscribed)?.us());
-    let others = others.iter().copied().take(SUBSCRIPTIONS_OVER);
+    let others = others.iter().copied().take(ADDITIONAL_SUBSCRIPTIONS);
     output.insert("more_us", subscriber.subscribe(others)?.us());
     output.count("squeezed", subscriber.subscriptions.evicted() as usize);
-    // A burst comes as two changes of each scope: joint, in force.
+    // In a burst, each scope changes twice: to joint, then in force.
     let after = after_changes(subscriber.state.clone(), &names, 2 * BURST);
     output.figure("burst_ms", ms(subscriber.update(&after)));
     let (scopes, took) = subscriber.resync(after.revision);
--- a/benches/state/src/settings_change.rs
+++ b/benches/state/src/settings_change.rs
@@ -1,4 +1,4 @@
-//! What one change of one function costs every front end: the replicated state is prepared as settings, and these are applied.
+//! Cost to a front end of changing one function: converting the replicated state to settings, and applying them.
 
 use crate::measure::{ms, timed, MemoryGrowth, OutputRecord};
 use crate::{inputs, Args, BenchError};
@@ -11,23 +11,23 @@
 use tansy_settings::agreement;
 use tansyrouter::{Micros, Time, SECOND};
 
-/// After this time without a new lease the settings of a front end without one apply.
-const LEASE_LEFT: Micros = SECOND / 2;
-/// After this time without a lease the settings in force alone apply.
-const EXPIRED_AFTER: Micros = 3600 * SECOND;
-/// The phases of a change, by the figure of the time that each takes.
-const PHASES: [&str; 3] = ["told_ms", "joint_ms", "in_force_ms"];
-/// Versions whose fields are completed over all phases: two where a next one stands, else one.
+/// Time until the lease expires and the settings of a front end without a lease apply.
+const LEASE_REMAINING: Micros = SECOND / 2;
+/// Time until the session expires and the front end no longer knows which version is in force.
+const SESSION_REMAINING: Micros = 3600 * SECOND;
+/// Output fields for the time of each phase of a change.
+const PHASE_FIELDS: [&str; 3] = ["told_ms", "joint_ms", "in_force_ms"];
+/// Versions whose defaults are filled in over all phases: two in each of the first two phases, one in the last.
 const COMPLETED_VERSIONS: f64 = 5.0;
 
-/// The settings of a front end by its lease.
+/// The settings of a front end with a lease, without one, and after its session has expired.
 struct PreparedSettings {
     with_lease: EffectiveConfig,
     without_lease: EffectiveConfig,
     after_expiry: EffectiveConfig,
 }
 
-/// Where the time of preparing went.
+/// Times of the steps of preparation.
 #[derive(Default)]
 struct PreparationTimes {
     completing: Duration,
@@ -35,7 +35,7 @@
     conversions: usize,
 }
 
-/// The gateway's path from a state to settings (`programs/gateway/src/fleet/`), without its driver.
+/// Converts a state to settings as the gateway does (`programs/gateway/src/fleet/`), without its driver.
 struct SettingsPreparer {
     own_fields: Fields,
     schema: Schema,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Completes the fields of a version by their defaults.
+    /// Fills in the defaults of a version's fields.
     fn complete(&mut self, fields: &mut Fields) -> Result<(), BenchError> {
         let (completed, took) = timed(|| agreement::with_defaults(fields));
         self.times.completing += took;
@@ -82,7 +82,7 @@
         if let Some((next, _)) = &mut state.next {
             self.complete(&mut next.fields)?;
         }
-        // The classes in force, by which answers are valued.
+        // The gateway also converts the settings in force, for the classes that determine the value of answers.
         self.convert(&state.in_force.fields)?;
         let rules = state.rules(&self.schema);
         let with_lease = self.effective_config(&rules)?;
@@ -98,7 +98,7 @@
     }
 }
 
-/// The calls that are rejected while two versions conflict.
+/// The scopes whose calls are rejected while two versions conflict.
 fn conflicting_scopes(rules: &EffectiveRules) -> ConflictingScopes {
     let mut conflicting = ConflictingScopes {
         unknown_names: rules.rejects_unknown_names,
@@ -116,27 +116,27 @@
     conflicting
 }
 
-/// Applies settings; how long that took.
+/// Applies settings and returns the time taken.
 fn apply(
     dispatcher: &mut Dispatcher,
     now: Micros,
     settings: &PreparedSettings,
 ) -> Result<Duration, BenchError> {
     let later = vec![
-        (Time(now + LEASE_LEFT), settings.without_lease.clone()),
-        (Time(now + EXPIRED_AFTER), settings.after_expiry.clone()),
+        (Time(now + LEASE_REMAINING), settings.without_lease.clone()),
+        (Time(now + SESSION_REMAINING), settings.after_expiry.clone()),
     ];
     let config = settings.with_lease.clone();
     let (applied, took) = timed(|| dispatcher.apply_settings(Time(now), config, later));
-    applied.map_err(|e| BenchError::failed("the terms", e))?;
+    applied.map_err(|e| BenchError::failed("applying the settings", e))?;
     Ok(took)
 }
 
 fn new_dispatcher(config: DispatchConfig) -> Result<Dispatcher, BenchError> {
-    Dispatcher::new(config, Time(0)).map_err(|e| BenchError::failed("the ledger", e))
+    Dispatcher::new(config, Time(0)).map_err(|e| BenchError::failed("the dispatcher's settings", e))
 }
 
-/// Proposes another number of lanes for one function.
+/// Proposes to change the number of lanes of one function.
 fn propose_change(log: &mut Log, function: &str) -> Result<(), BenchError> {
     let fields = inputs::with_lanes(&log.state().in_force.fields, function, 2);
     let entry = LogEntry::Propose {
@@ -151,10 +151,10 @@
 fn append(log: &mut Log, entry: LogEntry) -> Result<(), BenchError> {
     log.apply(entry)
         .map(drop)
-        .map_err(|e| BenchError::failed("the change", e))
+        .map_err(|e| BenchError::failed("applying an entry", e))
 }
 
-/// Advances the change to its next phase, until it is in force.
+/// Advances the change to its next phase, if it is not in force yet.
 fn advance(log: &mut Log) -> Result<(), BenchError> {
     let state = log.state();
     let from = state.revision;
@@ -168,7 +168,7 @@
     Ok(())
 }
 
-/// The phases of a change of one function's lanes: announced, joint, in force.
+/// Measures each phase of a change of one function's lanes: announced, joint, in force.
 pub fn settings_change(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::function_names(args.functions, args.seed);
     let fields = inputs::version_fields(&names);
@@ -182,8 +182,8 @@
     preparer.times = PreparationTimes::default();
     propose_change(&mut log, function)?;
     let (mut total, mut applying) = (Duration::ZERO, Duration::ZERO);
-    for (now, figure) in (2..).zip(PHASES) {
-        // A front end has a copy of the state of its own.
+    for (now, figure) in (2..).zip(PHASE_FIELDS) {
+        // Each front end works on its own copy of the state.
         let state = log.state().clone();
         let (prepared, preparing) = timed(|| preparer.prepare(&state));
         settings = prepared?;
@@ -194,19 +194,19 @@
         advance(&mut log)?;
     }
     output.figure("change_ms", ms(total));
-    output.figure("adopt_ms", ms(applying) / PHASES.len() as f64);
+    output.figure("adopt_ms", ms(applying) / PHASE_FIELDS.len() as f64);
     let times = &preparer.times;
     output.figure("filled_ms", ms(times.completing) / COMPLETED_VERSIONS);
     let conversions = times.conversions.max(1) as f64;
     output.figure("settings_ms", ms(times.converting) / conversions);
     output.figure("memory_mb", growth.mb());
     output.figure("peak_mb", growth.peak_mb());
-    // The memory above is that of these.
+    // Kept until here, so that the memory figures include them.
     drop((settings, dispatcher, log));
     Ok(())
 }
 
-/// [`Dispatcher::apply_settings`] alone, of settings in which one function differs.
+/// Measures [`Dispatcher::apply_settings`] alone, with settings that change one function.
 pub fn apply_settings(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::function_names(args.functions, args.seed);
     let config = inputs::config(&names, args.front_ends, args.seed);
@@ -223,7 +223,7 @@
     };
     let took = apply(&mut dispatcher, 1, &settings)?;
     output.figure("adopt_ms", ms(took));
-    // The lease expires: the settings that follow it are applied by the next input, before that itself.
+    // The lease expires: the next input first applies the settings for a front end without a lease.
     let mut commands = Vec::new();
     let (_, took) = timed(|| dispatcher.step(Time(SECOND), Input::Tick, &mut commands));
     output.figure("lapse_ms", ms(took));
--- a/benches/state/src/single_voter.rs
+++ b/benches/state/src/single_voter.rs
@@ -1,4 +1,4 @@
-//! A consensus group of one voter, which commits each entry at once; its records go to a file, if it has one.
+//! A consensus group with a single voter, which commits each entry immediately and optionally stores its records in a file.
 
 use crate::measure::{timed, Distribution};
 use crate::{inputs, BenchError};
@@ -11,18 +11,18 @@
 /// Virtual time between two entries.
 const ENTRY_INTERVAL: i64 = 50_000;
 
-/// What a voter has written.
+/// Statistics of a voter's writes.
 #[derive(Default)]
 pub(crate) struct WriteStatistics {
-    /// Times of records alone.
+    /// Write times of records without a snapshot.
     pub record_times: Distribution,
-    /// Times of records with a snapshot.
+    /// Write times of records with a snapshot.
     pub snapshot_times: Distribution,
-    /// Bytes of the last snapshot.
+    /// Size of the last snapshot.
     pub snapshot_bytes: usize,
     /// Number of snapshots.
     pub snapshots: usize,
-    /// Bytes of the last record.
+    /// Size of the last record.
     pub record_bytes: usize,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl SingleVoter {
-    /// A voter whose log starts with these settings.
+    /// Creates a voter whose log starts with these settings.
     pub fn new(
         initial_fields: Fields,
         storage: Option<LogStorage>,
@@ -43,7 +43,7 @@
         SingleVoter::start(initial_fields, &PersistentState::default(), storage)
     }
 
-    /// A voter that continues from what its file holds.
+    /// Creates a voter from the records of its file.
     pub fn recover(recovered: RecoveredRecords) -> Result<SingleVoter, BenchError> {
         let persistent = PersistentState {
             snapshot: recovered.snapshot,
@@ -69,7 +69,7 @@
             seed: 1,
         };
         let replica = Replica::new(config, persistent, 0)
-            .map_err(|e| BenchError::failed("the voter's first file", e))?;
+            .map_err(|e| BenchError::failed("starting the voter", e))?;
         let mut voter = SingleVoter {
             replica,
             now: 0,
@@ -86,7 +86,7 @@
         self.execute(effects).map(drop)
     }
 
-    /// Executes effects and those that follow of them; the outcome of the last entry that was applied.
+    /// Executes effects and their follow-up effects; returns the outcome of the last applied entry.
     fn execute(&mut self, mut effects: Vec<Effect>) -> Result<Option<ApplyOutcome>, BenchError> {
         let mut applied = None;
         while !effects.is_empty() {
@@ -97,11 +97,15 @@
                         self.replica.on_persisted(true, &mut effects);
                     }
                     Effect::Applied { outcome, .. } => {
-                        let outcome = outcome.map_err(|e| BenchError::failed("the change", e))?;
+                        let outcome =
+                            outcome.map_err(|e| BenchError::failed("applying an entry", e))?;
                         applied = Some(outcome);
                     }
                     Effect::UnknownEntry => {
-                        return Err(BenchError::failed("the log", "it is of a later program"));
+                        return Err(BenchError::failed(
+                            "the log",
+                            "an entry is of an unknown kind",
+                        ));
                     }
                     Effect::Send { .. } => {}
                 }
@@ -135,10 +139,10 @@
     pub fn log(&self) -> Result<&Log, BenchError> {
         self.replica
             .log()
-            .ok_or_else(|| BenchError::failed("the voter", "it has no log"))
+            .ok_or_else(|| BenchError::failed("the voter", "no log is available"))
     }
 
-    /// Index of the entry as of which the log was encoded last.
+    /// Index of the last entry in the latest snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.replica.snapshot_index()
     }
@@ -150,9 +154,9 @@
         let mut effects = Vec::new();
         self.replica
             .propose(entry, &mut effects)
-            .ok_or_else(|| BenchError::failed("the voter", "it does not lead"))?;
+            .ok_or_else(|| BenchError::failed("the voter", "not the leader"))?;
         self.execute(effects)?
             .map(drop)
-            .ok_or_else(|| BenchError::failed("the entry", "it was not applied"))
+            .ok_or_else(|| BenchError::failed("appending an entry", "the entry was not applied"))
     }
 }
