--- a/benches/state/src/dispatch_costs.rs
+++ b/benches/state/src/dispatch_costs.rs
@@ -1,4 +1,4 @@
-//! Costs of the decision module, of the dispatcher around it, and of cold starts.
+//! Benchmarks of the decision module, of the dispatcher that contains it, and of cold starts.
 
 use crate::dispatch_workload::{
     arrival, DispatcherAdapter, RouterAdapter, SystemUnderTest, Workload,
@@ -12,19 +12,19 @@
     SECOND,
 };
 
-/// Virtual time until a workload is steady.
+/// Virtual time until the workload is steady.
 const WARM_UP: Micros = 45 * SECOND;
-/// Virtual time that is measured then.
-const MEASURED: Micros = 15 * SECOND;
-/// Virtual time that is measured right after all functions were called, which are remembered for 40 s, and after all
-/// instances were reported, which are believed in for 9 s.
-const MEASURED_AFTER_FILL: Micros = 7 * SECOND;
-/// Before the workload starts, this many events come in each [`BATCH_INTERVAL`].
+/// Virtual time for which the steady workload is measured.
+const MEASURED_PERIOD: Micros = 15 * SECOND;
+/// Virtual time for which a filled module is measured: less than the 40 s for which it remembers a called function, and the
+/// 9 s for which it assumes that a reported instance is still loaded.
+const MEASURED_PERIOD_AFTER_FILL: Micros = 7 * SECOND;
+/// Events per [`BATCH_INTERVAL`] before the workload starts.
 const BATCH: usize = 20_000;
 const BATCH_INTERVAL: Micros = 20_000;
-/// Calls of functions that no worker has, by the second, at one front end.
+/// Rate of calls at one front end to functions that no worker has loaded.
 const COLD_CALLS_PER_SECOND: f64 = 1.0;
-/// The number of the first call before the workload; the workload itself counts from 1.
+/// Number of the first call before the workload, which itself counts calls from 1.
 const FIRST_CALL: u64 = u64::MAX / 2;
 
 fn worker_entry(number: usize) -> WorkerEntry {
@@ -55,14 +55,14 @@
     output.count("unserved", workload.unserved as usize);
 }
 
-/// Fills the decision module in batches, between which its timers fire.
+/// Fills the decision module in batches; its timers fire between batches.
 struct RouterFill {
     system: RouterAdapter,
     now: Micros,
 }
 
 impl RouterFill {
-    /// Before the n-th event.
+    /// Advances the clock before every [`BATCH`]th event.
     fn pass_time(&mut self, events: usize) {
         if events.is_multiple_of(BATCH) {
             self.now += BATCH_INTERVAL;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Each function is called once, by a client that leaves.
+    /// Calls each function once; the client cancels the call.
     fn call_functions(&mut self, functions: usize) {
         for function in 0..functions {
             self.pass_time(function);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Each instance is reported by a load. Those of a worker are of different functions where there are as many.
+    /// Reports each instance by a completed load. A worker's instances are of different functions if there are enough.
     fn load_instances(&mut self, instances: usize, functions: usize) {
         for instance in 0..instances {
             self.pass_time(instance);
@@ -103,7 +103,7 @@
     }
 }
 
-/// The decision module, which knows every function by a call and every instance by a load.
+/// Measures the decision module after a call of every function and a load of every instance.
 pub fn decision_module(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let popularity = FunctionPopularity::new(args.functions, args.seed);
     let workers = worker_count(args);
@@ -112,7 +112,7 @@
     let mut rng = fastrand::Rng::with_seed(args.seed);
     let growth = MemoryGrowth::begin();
     let router = Router::new(inputs::settings(args.front_ends), args.seed, Time(0))
-        .map_err(|e| BenchError::failed("the module's settings", e))?;
+        .map_err(|e| BenchError::failed("the decision module's settings", e))?;
     let mut fill = RouterFill {
         system: RouterAdapter::new(router),
         now: 0,
@@ -131,7 +131,7 @@
     workload.start_at(fill.now);
     workload.run(SECOND);
     workload.start_measurement();
-    workload.run(MEASURED_AFTER_FILL);
+    workload.run(MEASURED_PERIOD_AFTER_FILL);
     add_memory(&growth, output);
     add_steps(&workload, output);
     Ok(())
@@ -155,7 +155,7 @@
     }
 }
 
-/// Each function is described by a call, whose client leaves; when the last of them has come.
+/// Describes each function by a call that the client cancels; returns the virtual time after the last one.
 fn call_unlisted(system: &mut DispatcherAdapter) -> Micros {
     let function_names = system.function_names().to_vec();
     for (function, name) in function_names.iter().enumerate() {
@@ -169,7 +169,7 @@
     (function_names.len() / BATCH + 1) as Micros * BATCH_INTERVAL
 }
 
-/// The dispatcher with the decision module in it, under a steady workload.
+/// Measures the dispatcher, including the decision module, under a steady workload.
 pub fn dispatcher(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let function_names = inputs::function_names(args.functions, args.seed);
     let popularity = FunctionPopularity::new(args.functions, args.seed);
@@ -193,11 +193,11 @@
         workload.start_at(filled);
         workload.run(SECOND);
         workload.start_measurement();
-        workload.run(3 * MEASURED_AFTER_FILL);
+        workload.run(3 * MEASURED_PERIOD_AFTER_FILL);
     } else {
         workload.run(WARM_UP);
         workload.start_measurement();
-        workload.run(MEASURED);
+        workload.run(MEASURED_PERIOD);
     }
     add_memory(&growth, output);
     let (functions, ..) = workload.system.dispatcher().name_counts();
@@ -206,7 +206,7 @@
     Ok(())
 }
 
-/// The share of a cold start that is spent in the front end.
+/// Measures the time that cold starts spend in the front end.
 pub fn cold_start(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let function_names = inputs::function_names(args.functions, args.seed);
     let popularity = FunctionPopularity::new(args.functions, args.seed);
@@ -215,7 +215,7 @@
     output.figure("cold_calls_s", COLD_CALLS_PER_SECOND);
     output.figure("load_ms", LOAD_TIME as f64 / 1e3);
     let dispatcher = new_dispatcher(args, &function_names, output)?;
-    // Calls describe the functions that nobody has called yet.
+    // Functions that have not been called before are described by their calls.
     let mut system = DispatcherAdapter::new(dispatcher, function_names, true);
     system.apply(0, worker_list(workers));
     let mut workload = Workload::new(system, popularity, args.front_ends, args.seed);
--- a/benches/state/src/dispatch_workload.rs
+++ b/benches/state/src/dispatch_workload.rs
@@ -1,8 +1,8 @@
-//! The workload of one front end in virtual time: calls of functions by popularity, workers that answer, and sibling front
-//! ends that keep popular functions loaded. The decision module alone and the whole dispatcher are driven the same way; each of
-//! their steps is timed by the wall clock.
+//! The workload of one front end in virtual time: calls of functions by popularity, workers that answer, and other front ends
+//! that keep popular functions loaded. Drives either the decision module alone or the whole dispatcher, and times each step
+//! by the wall clock.
 //!
-//! Workers have neither queues nor limits here; see [`crate::workers`] for a fleet with both.
+//! These workers have neither queues nor limits; see [`crate::workers`] for a simulation with both.
 
 mod cold_starts;
 mod dispatcher;
@@ -22,12 +22,12 @@
 use std::time::Duration;
 use tansyrouter::{Micros, SECOND};
 
-/// A call's work at a worker, and the way there and back.
+/// Time of a call at a worker, including the network round trip.
 const CALL_TIME: Micros = 20_000;
-/// From a load request that needs no load to its answer.
+/// Time to answer a load request that needs no load.
 const QUERY_TIME: Micros = 2_000;
-/// How long an instance stays loaded after it was used.
-const INSTANCE_LIFE: Micros = 10 * SECOND;
+/// Time for which an instance stays loaded after its last use.
+const INSTANCE_IDLE_LIFE: Micros = 10 * SECOND;
 /// The utilization that workers report.
 const UTILIZATION: f64 = 0.6;
 
@@ -47,22 +47,22 @@
     Event(Event),
 }
 
-/// Calls of functions that nobody has called yet.
+/// Periodic calls of functions that have not been called before.
 struct ColdCalls<S> {
-    /// Between two of them.
+    /// Time between two calls.
     interval: Micros,
-    /// Adds a function to the system under test, named after a number; its index.
+    /// Adds a function to the system under test, named after a number, and returns its index.
     add_function: fn(&mut S, u64) -> usize,
 }
 
-/// Wall times of steps, by what they took.
+/// Wall times of steps, by the kind of input.
 #[derive(Default)]
 pub struct StepTimes {
-    /// A call.
+    /// Steps that take a call.
     pub call: Distribution,
-    /// An answer.
+    /// Steps that take an answer.
     pub answer: Distribution,
-    /// A timer.
+    /// Timer steps.
     pub timer: Distribution,
     in_timers: Duration,
 }
@@ -72,14 +72,14 @@
     /// The system under test.
     pub system: S,
     popularity: FunctionPopularity,
-    /// By function: siblings call it so often that it is always loaded somewhere.
+    /// By function: whether other front ends call it often enough to keep an instance loaded.
     always_warm: Vec<bool>,
-    /// By worker and function: until when an instance that this front end loaded or used is warm.
+    /// By worker and function: when an instance that this front end loaded or used stops being warm.
     warm_until: HashMap<(usize, usize), Micros>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     scheduled: u64,
     calls: u64,
-    /// The functions of calls that are not answered yet.
+    /// Functions of the unanswered calls.
     open_calls: HashMap<u64, usize>,
     rng: fastrand::Rng,
     now: Micros,
@@ -88,7 +88,7 @@
     pub step_times: StepTimes,
     /// Calls that ended since the measurement began.
     pub ended: u64,
-    /// Those of them that were not served.
+    /// Calls that ended without being served since the measurement began.
     pub unserved: u64,
     /// Cold starts since the measurement began.
     pub cold_starts: ColdStartTimes,
@@ -97,9 +97,9 @@
     cold_calls: Option<ColdCalls<S>>,
 }
 
-/// Which functions a fleet calls at least once in the idle life of an instance.
+/// By function: whether the fleet calls it at least once per idle life of an instance, on average.
 fn always_warm(popularity: &FunctionPopularity, front_ends: usize) -> Vec<bool> {
-    let life_s = INSTANCE_LIFE as f64 / 1e6;
+    let life_s = INSTANCE_IDLE_LIFE as f64 / 1e6;
     let shares = popularity.shares();
     shares
         .iter()
@@ -108,7 +108,7 @@
 }
 
 impl<S: SystemUnderTest> Workload<S> {
-    /// The workload of one of so many front ends.
+    /// Creates the workload of one of `front_ends` front ends.
     pub fn new(
         system: S,
         popularity: FunctionPopularity,
@@ -138,7 +138,7 @@
         workload
     }
 
-    /// From now on functions that nobody has called yet are called as well, at this rate.
+    /// Starts additional calls, at this rate, of functions that have not been called before.
     pub fn start_cold_calls(&mut self, per_second: f64, add_function: fn(&mut S, u64) -> usize) {
         let interval = (SECOND as f64 / per_second) as Micros;
         self.cold_calls = Some(ColdCalls {
@@ -148,7 +148,7 @@
         self.schedule(interval, Event::ColdCallArrives);
     }
 
-    /// Starts at another moment than 0.
+    /// Restarts the workload at this virtual time.
     pub fn start_at(&mut self, now: Micros) {
         self.now = now;
         self.events.clear();
@@ -161,7 +161,7 @@
         self.events.push(Reverse((due, self.scheduled, event)));
     }
 
-    /// Starts to measure: what was measured so far is dropped.
+    /// Starts a measurement, discarding earlier figures.
     pub fn start_measurement(&mut self) {
         self.measured_since = self.now;
         self.step_times = StepTimes::default();
@@ -170,15 +170,15 @@
         self.unserved = 0;
     }
 
-    /// Percent of a core that timers took since the measurement began.
+    /// CPU use of timer steps since the measurement began, in percent of a core.
     pub fn timer_cpu_percent(&self) -> f64 {
         let virtual_s = (self.now - self.measured_since).max(1) as f64 / 1e6;
         self.step_times.in_timers.as_secs_f64() / virtual_s * 100.0
     }
 
-    /// Lets this much time pass.
-    pub fn run(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Runs the workload for this virtual time.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         let mut outputs = Vec::new();
         while let Some(step) = self.next_step(end) {
             let took = match step {
@@ -190,7 +190,7 @@
         self.now = end;
     }
 
-    /// The next step up to this moment, to which the clock moves. A timer precedes the events of its moment.
+    /// Returns the next step up to `end` and advances the clock to it. A timer precedes events of the same time.
     fn next_step(&mut self, end: Micros) -> Option<Step> {
         let timer = self.system.next_timer();
         let event = self.events.peek().map(|Reverse((due, ..))| *due);
@@ -211,7 +211,7 @@
         took
     }
 
-    /// Feeds an event to the system under test; how long that took.
+    /// Feeds an event to the system under test and returns the time taken.
     fn on_event(&mut self, event: Event, outputs: &mut Vec<Output>) -> Duration {
         match event {
             Event::CallArrives => self.on_call(outputs),
@@ -276,7 +276,7 @@
     }
 
     fn keep_warm(&mut self, worker: usize, function: usize) {
-        let until = self.now + INSTANCE_LIFE;
+        let until = self.now + INSTANCE_IDLE_LIFE;
         self.warm_until.insert((worker, function), until);
     }
 
@@ -286,7 +286,7 @@
         always || until.is_some_and(|until| *until > self.now)
     }
 
-    /// Executes the outputs of a step that took this long.
+    /// Executes the outputs of a step that took the wall time `took`.
     fn execute(&mut self, outputs: &mut Vec<Output>, took: Duration) {
         for output in outputs.drain(..) {
             match output {
--- a/benches/state/src/dispatch_workload/cold_starts.rs
+++ b/benches/state/src/dispatch_workload/cold_starts.rs
@@ -1,10 +1,10 @@
-//! Cold starts: calls of functions that no worker has.
+//! Cold starts: calls of functions that no worker has loaded.
 
 use crate::measure::Distribution;
 use std::time::Duration;
 use tansyrouter::Micros;
 
-/// A call of a function that no worker has, until it is sent or answered.
+/// A cold start whose call has been neither sent nor answered.
 pub(super) struct PendingColdStart {
     arrived: Micros,
     /// When the load ended.
@@ -22,14 +22,14 @@
     }
 }
 
-/// How long cold starts took, by part.
+/// Times of the parts of cold starts.
 #[derive(Default)]
 pub struct ColdStartTimes {
     /// Virtual time from the call to the load request.
     pub load_request_wait: Distribution,
-    /// Virtual time from the load's end to the send.
+    /// Virtual time from the end of the load to sending the call.
     pub send_wait: Distribution,
-    /// Virtual time from the call to the send.
+    /// Virtual time from the arrival to sending the call.
     pub total: Distribution,
     /// Wall time of the step that requests the load.
     pub load_request_step: Distribution,
@@ -40,7 +40,7 @@
 }
 
 impl ColdStartTimes {
-    /// A step that took this long requested the load.
+    /// Records the step that requested the load.
     pub(super) fn record_load_request(
         &mut self,
         pending: &PendingColdStart,
@@ -51,7 +51,7 @@
         self.load_request_step.add(took);
     }
 
-    /// A step that took this long sent the call. One that was sent without a load, to a sibling's instance, is no cold start.
+    /// Records the step that sent the call. Ignores a call sent without a load, to an instance that another front end loaded.
     pub(super) fn record_send(&mut self, pending: &PendingColdStart, now: Micros, took: Duration) {
         let Some(loaded) = pending.loaded else {
             return;
--- a/benches/state/src/dispatch_workload/dispatcher.rs
+++ b/benches/state/src/dispatch_workload/dispatcher.rs
@@ -1,6 +1,6 @@
-//! The dispatcher, with the decision module in it, as the system under test.
+//! The dispatcher, including the decision module, as the system under test.
 
-use super::system::{settle, LoadRequest, Output, SentAttempt, SystemUnderTest};
+use super::system::{execute_immediately, LoadRequest, Output, SentAttempt, SystemUnderTest};
 use super::UTILIZATION;
 use crate::inputs::{self, TIMER_SLACK};
 use std::collections::BTreeMap;
@@ -20,13 +20,13 @@
     dispatcher: Dispatcher,
     function_names: Vec<String>,
     function_indices: BTreeMap<String, usize>,
-    /// Calls describe their functions, which the settings do not name.
+    /// Whether calls describe their functions because the settings do not list them.
     unlisted: bool,
     commands: Vec<Command>,
 }
 
 impl DispatcherAdapter {
-    /// Drives a dispatcher with calls of these functions; `unlisted`: the calls describe them.
+    /// Wraps a dispatcher that receives calls of these functions, described by the calls if `unlisted`.
     pub fn new(
         dispatcher: Dispatcher,
         function_names: Vec<String>,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Adds a function that nobody has called before; its index.
+    /// Adds a function that has not been called before and returns its index.
     pub fn add_function(&mut self, name: String) -> usize {
         let index = self.function_names.len();
         self.function_indices.insert(name.clone(), index);
@@ -54,21 +54,21 @@
         self.dispatcher = dispatcher;
     }
 
-    /// The functions that are called.
+    /// Names of the functions that are called.
     pub fn function_names(&self) -> &[String] {
         &self.function_names
     }
 
-    /// The dispatcher itself.
+    /// The wrapped dispatcher.
     pub fn dispatcher(&self) -> &Dispatcher {
         &self.dispatcher
     }
 
-    /// An input before the workload starts; what follows of it is executed at once.
+    /// Applies an input before the workload starts, and executes its outputs immediately.
     pub fn apply(&mut self, now: Micros, input: Input) {
         let mut outputs = Vec::new();
         self.step(now, input, &mut outputs);
-        settle(self, now, outputs);
+        execute_immediately(self, now, outputs);
     }
 
     fn step(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
@@ -180,7 +180,7 @@
     }
 
     fn next_timer(&self) -> Option<Micros> {
-        // By then the tick of the timer wheel has begun.
+        // The timer wheel may tick up to `TIMER_SLACK` after the due time.
         let due = self.dispatcher.next_due();
         due.map(|due| due.0 + TIMER_SLACK)
     }
--- a/benches/state/src/dispatch_workload/router.rs
+++ b/benches/state/src/dispatch_workload/router.rs
@@ -1,6 +1,6 @@
 //! The decision module alone as the system under test.
 
-use super::system::{settle, LoadRequest, Output, SentAttempt, SystemUnderTest};
+use super::system::{execute_immediately, LoadRequest, Output, SentAttempt, SystemUnderTest};
 use super::UTILIZATION;
 use crate::inputs::{CLASSES, LOAD_TIME};
 use tansyrouter::{
@@ -15,7 +15,7 @@
     next_timer: Option<Micros>,
 }
 
-/// A call as an event of the router.
+/// A call as an arrival at the router.
 pub fn arrival(call: u64, function: usize) -> Arrival {
     Arrival {
         request: RequestId(call),
@@ -32,7 +32,7 @@
 }
 
 impl RouterAdapter {
-    /// Drives a router.
+    /// Wraps a router.
     pub fn new(router: Router) -> RouterAdapter {
         RouterAdapter {
             router,
@@ -41,11 +41,11 @@
         }
     }
 
-    /// An event before the workload starts; what follows of it is executed at once.
+    /// Applies an event before the workload starts, and executes its outputs immediately.
     pub fn apply(&mut self, now: Micros, event: Event) {
         let mut outputs = Vec::new();
         self.handle(now, event, &mut outputs);
-        settle(self, now, outputs);
+        execute_immediately(self, now, outputs);
     }
 
     fn handle(&mut self, now: Micros, event: Event, outputs: &mut Vec<Output>) {
--- a/benches/state/src/dispatch_workload/system.rs
+++ b/benches/state/src/dispatch_workload/system.rs
@@ -1,4 +1,4 @@
-//! What the workload and a system under test exchange.
+//! Interface between the workload and the system under test.
 
 use tansyrouter::Micros;
 
@@ -9,11 +9,11 @@
     pub(super) attempt: u32,
     pub(super) worker: usize,
     pub(super) sent_at: Micros,
-    /// The worker has an instance of the function.
+    /// Whether the worker has a warm instance of the function.
     pub(super) warm: bool,
 }
 
-/// A load request that was sent; one for no instance queries their number.
+/// A load request that was sent. A request for 0 instances queries their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoadRequest {
     pub(super) id: u64,
@@ -23,7 +23,7 @@
     pub(super) sent_at: Micros,
 }
 
-/// What the system under test asks of its host.
+/// A command or an answer from the system under test.
 pub enum Output {
     /// An attempt is sent.
     Send(SentAttempt),
@@ -38,7 +38,7 @@
     },
 }
 
-/// The decision module, or the dispatcher around it.
+/// The decision module, or the dispatcher that contains it.
 pub trait SystemUnderTest {
     /// A call of a function arrives.
     fn on_call(&mut self, now: Micros, call: u64, function: usize, outputs: &mut Vec<Output>);
@@ -52,14 +52,18 @@
         instances: u32,
         outputs: &mut Vec<Output>,
     );
-    /// The timer has run out.
+    /// The timer has expired.
     fn on_timer(&mut self, now: Micros, outputs: &mut Vec<Output>);
-    /// When the timer runs out.
+    /// When the timer expires.
     fn next_timer(&self) -> Option<Micros>;
 }
 
-/// Executes outputs at once, and those that follow of them.
-pub(super) fn settle<S: SystemUnderTest>(system: &mut S, now: Micros, mut outputs: Vec<Output>) {
+/// Executes outputs and their follow-up outputs immediately: attempts are served, loads succeed.
+pub(super) fn execute_immediately<S: SystemUnderTest>(
+    system: &mut S,
+    now: Micros,
+    mut outputs: Vec<Output>,
+) {
     while let Some(output) = outputs.pop() {
         match output {
             Output::Send(sent) => system.on_served(now, sent, &mut outputs),
--- a/benches/state/src/rollouts.rs
+++ b/benches/state/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts over all front ends of a fleet, in virtual time: what an observation costs a rollout controller, and how long a
-//! rollout lasts. Replies are the real messages, decoded as a controller does.
+//! Rollouts over all front ends of a fleet, in virtual time: the cost of an observation to the rollout controller, and the
+//! duration of a rollout. Replies are encoded and decoded as on the wire.
 
 mod controller_cost;
 mod duration;
@@ -12,22 +12,22 @@
 use crate::{Args, BenchError};
 use tansy_rollout::{Rollout, RolloutChange, RolloutPlan, RolloutRejection, Target, Time, SECOND};
 
-/// Zones of the fleet.
+/// Number of zones.
 const ZONES: usize = 17;
-/// Voters of the fleet.
+/// Number of voters.
 const VOTERS: usize = 5;
-/// Between two observations, as `tansy-fleet up` and `tansy-fleet steer` make them.
+/// Interval between observations, as in `tansy-fleet up` and `tansy-fleet steer`.
 const POLL_INTERVAL: Time = SECOND / 4;
-/// From the request to restart a front end to its being ready again.
+/// Time from the request to restart a front end until it is ready again.
 const RESTART_TIME: Time = 5 * SECOND;
-/// Shares of the fleet that are changed by the end of each stage, as `tansy-fleet rollout begin` has them.
+/// Cumulative share of the fleet changed by each stage, as in `tansy-fleet rollout begin`.
 const STAGES: [f64; 3] = [0.1, 0.3, 1.0];
-/// The label of the new program.
+/// Label of the new program.
 const NEW_LABEL: &str = "new";
-/// The name of the controller.
+/// Name of the controller.
 const CONTROLLER: &str = "steerer";
 
-/// The plan for so many front ends: all zones in turn, the voters last.
+/// The plan for `front_ends` front ends: zones round-robin, voters last.
 fn plan(front_ends: usize) -> RolloutPlan {
     let target = |number: usize| Target {
         name: format!("front-{number:05}"),
@@ -50,7 +50,7 @@
     }
 }
 
-/// A rollout of a new program.
+/// Begins a rollout of a new program.
 fn begin_rollout(front_ends: usize) -> Result<Rollout, RolloutRejection> {
     let change = RolloutChange::Program {
         label: NEW_LABEL.into(),
@@ -59,7 +59,7 @@
     Rollout::begin(1, change, plan(front_ends), "measured".into())
 }
 
-/// Notes that a rollout over so many front ends is rejected.
+/// Notes in the output that the rollout was rejected.
 fn add_rejection(rejection: &RolloutRejection, args: &Args, output: &mut OutputRecord) {
     output.count("refused", 1);
     output.add_note(format!(
--- a/benches/state/src/rollouts/controller_cost.rs
+++ b/benches/state/src/rollouts/controller_cost.rs
@@ -1,4 +1,4 @@
-//! What one observation of all front ends costs a rollout controller.
+//! Cost to a rollout controller of observing all front ends.
 
 use super::fleet::{observe, RolloutFleet};
 use super::{add_rejection, begin_rollout, step_failed, CONTROLLER, POLL_INTERVAL, RESTART_TIME};
@@ -9,7 +9,7 @@
 use tansy_fleet_wire::encode_rollout_entry;
 use tansy_rollout::{FrontEndObservation, Rollout, RolloutController, RolloutEntry, Time, SECOND};
 
-/// Observations between two slices that are timed.
+/// Number of timed observations between two slices.
 const TIMED_OBSERVATIONS: usize = 8;
 
 /// A rollout, its controller and the fleet.
@@ -21,11 +21,11 @@
     now: Time,
     /// Times to decode all replies.
     decode_times: Distribution,
-    /// Times of observations at which every slice is compared.
+    /// Times of observations that compare all slices.
     slice_times: Distribution,
     /// Times of other observations.
     observation_times: Distribution,
-    /// Bytes of each entry between two slices.
+    /// Sizes of the entries between two slices.
     entry_bytes: Vec<usize>,
 }
 
@@ -48,7 +48,7 @@
         self.rollout.plan.sample_seconds as Time * SECOND
     }
 
-    /// How long the usual behaviour is observed before the first restart.
+    /// Time for which the baseline is observed before the first restart.
     fn baseline(&self) -> Time {
         self.rollout.plan.min_stage_seconds as Time * SECOND
     }
@@ -62,7 +62,7 @@
         self.rollout.apply(entry).map_err(step_failed)
     }
 
-    /// Observes the usual behaviour, slice by slice, until the first front end may restart.
+    /// Observes the baseline, slice by slice, until the first front end may restart.
     fn observe_baseline(&mut self) -> Result<(), BenchError> {
         while self.now < self.baseline() {
             let replies = self.fleet.replies(self.now);
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Half of the first stage runs the new program.
+    /// Changes half of the first stage to the new program.
     fn change_half_of_stage(&mut self) -> Result<(), BenchError> {
         self.now = self.baseline() + self.slice();
         let targets = self.rollout.plan.targets_through(0);
@@ -122,7 +122,7 @@
         Ok(())
     }
 
-    /// Observations between two slices, at which front ends restart one by one.
+    /// Times observations between two slices, in which front ends restart one by one.
     fn observe_between_slices(&mut self) -> Result<(), BenchError> {
         // The first observation here begins a slice.
         let _ = self.poll();
@@ -152,7 +152,7 @@
         output.figure("steer_cpu", self.cpu_percent());
     }
 
-    /// Percent of a core: all replies decoded and one observation in each interval, a comparison in each slice.
+    /// CPU use in percent of a core: decoding all replies and one observation per poll, and one comparison per slice.
     fn cpu_percent(&self) -> f64 {
         let poll_ms = self.decode_times.mean_ms()
             + self.observation_times.mean_ms()
@@ -161,7 +161,7 @@
     }
 }
 
-/// Bytes and messages of one observation.
+/// Adds the size and the number of messages of one observation.
 fn add_replies(fleet: &mut RolloutFleet, output: &mut OutputRecord) {
     let replies = fleet.replies(0);
     let bytes: usize = replies.iter().map(Vec::len).sum();
@@ -173,7 +173,7 @@
     output.figure("look_kb_s", bytes as f64 / 1e3 * polls_per_s);
 }
 
-/// What an observation costs a rollout controller, and the memory that it needs.
+/// Measures the time and memory that a rollout controller needs for observations.
 pub(crate) fn controller_cost(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let rollout = match begin_rollout(args.front_ends) {
         Ok(rollout) => rollout,
--- a/benches/state/src/rollouts/duration.rs
+++ b/benches/state/src/rollouts/duration.rs
@@ -1,4 +1,4 @@
-//! How long a rollout lasts, from its beginning to its end.
+//! Duration of a rollout.
 
 use super::fleet::{observe, RolloutFleet};
 use super::{
@@ -13,20 +13,20 @@
     Time, SECOND,
 };
 
-/// A rollout that is not over by then is given up.
+/// Virtual time after which an unfinished rollout is abandoned.
 const TIMEOUT: Time = 200_000 * SECOND;
 
-/// What a rollout took.
+/// A rollout and its statistics.
 struct RolloutRun {
     rollout: Rollout,
-    /// Entries, without heartbeats.
+    /// Number of entries other than heartbeats.
     entries: u64,
     heartbeats: u64,
-    /// The most front ends that were restarting at once.
+    /// Maximum number of front ends that were restarting at the same time.
     max_restarting: usize,
-    /// Bytes of all entries.
+    /// Total size of all entries.
     entry_bytes: u64,
-    /// Virtual time from its beginning to its end.
+    /// Virtual time from beginning to end.
     duration: Time,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Updates whether front ends are ready, and which program they run, but not their counters.
+/// Updates the readiness and the program of each front end, but not its counters.
 fn update_readiness(observations: &mut [FrontEndObservation], fleet: &RolloutFleet) {
     for observation in observations {
         if let Some(front_end) = fleet.get(&observation.report.name) {
@@ -82,7 +82,7 @@
     while !run.rollout.has_ended() && now < TIMEOUT {
         fleet.pass_time(now);
         if now >= next_replies {
-            // Counters matter where slices are compared; between them only readiness and the program do.
+            // Counters are only needed when slices are compared; readiness and program at every poll.
             observations = observe(&fleet.replies(now));
             next_replies = now + slice;
         }
@@ -97,7 +97,7 @@
     Ok(run)
 }
 
-/// How long a rollout of a program lasts.
+/// Measures the duration of a rollout of a program.
 pub(crate) fn rollout_duration(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let run = match run_rollout(args.front_ends, args.seed) {
         Ok(run) => run,
@@ -111,7 +111,7 @@
     if rollout.phase != RolloutPhase::Completed {
         return Err(BenchError::failed(
             "the rollout",
-            format!("it is not done: {}", rollout.reason),
+            format!("not completed: {}", rollout.reason),
         ));
     }
     output.count("refused", 0);
--- a/benches/state/src/rollouts/fleet.rs
+++ b/benches/state/src/rollouts/fleet.rs
@@ -1,4 +1,4 @@
-//! The front ends of the fleet, as they answer a rollout controller.
+//! Simulated front ends that answer a rollout controller.
 
 use super::{plan, NEW_LABEL, RESTART_TIME};
 use crate::inputs::CALLS_PER_SECOND;
@@ -7,16 +7,16 @@
 use tansy_fleet_wire::{decode_counters, pb};
 use tansy_rollout::{FrontEndObservation, Target, Time, SECOND};
 
-/// Distinct latencies that a front end reports of each class.
-const LATENCIES: u64 = 40;
-/// The share of calls that fail, more or less by chance.
+/// Number of distinct latencies that a front end reports for each class.
+const LATENCIES_PER_CLASS: u64 = 40;
+/// Mean share of failed calls, varied by up to 10% at random.
 const FAILURE_SHARE: f64 = 0.001;
-/// How long front ends have run when the rollout begins.
-const UPTIME: Time = 3600 * SECOND;
-/// Memory that a front end reports, bytes.
-const MEMORY: u64 = 30_000_000;
+/// Uptime of the front ends when the rollout begins.
+const INITIAL_UPTIME: Time = 3600 * SECOND;
+/// Memory that a front end reports.
+const MEMORY_BYTES: u64 = 30_000_000;
 
-/// A front end, as it answers.
+/// The state of a front end that its replies are made from.
 pub(super) struct FrontEnd {
     target: Target,
     pub is_new: bool,
@@ -31,12 +31,12 @@
             target,
             is_new: false,
             is_ready: true,
-            started: -UPTIME,
+            started: -INITIAL_UPTIME,
             restarts_at: None,
         }
     }
 
-    /// The encoded reply of its program.
+    /// The encoded reply with the front end's counters.
     fn reply(&self, now: Time, classes: usize, rng: &mut fastrand::Rng) -> Vec<u8> {
         let uptime = now - self.started;
         let calls = CALLS_PER_SECOND * uptime as f64 / 1e6 / classes as f64;
@@ -49,7 +49,7 @@
             uptime,
             ready: self.is_ready,
             label: label.into(),
-            memory_bytes: MEMORY,
+            memory_bytes: MEMORY_BYTES,
             classes: classes.collect(),
             is_voter: self.target.is_voter,
             ..Default::default()
@@ -61,12 +61,14 @@
 fn class_counters(class: usize, calls: f64, rng: &mut fastrand::Rng) -> pb::ClassCounters {
     let failed = (calls * FAILURE_SHARE * (0.9 + 0.2 * rng.f64())) as u64;
     let served = calls as u64 - failed.min(calls as u64);
-    let by_latency = served / LATENCIES;
-    let latencies: Vec<u64> = (1..=LATENCIES).map(|nth| 4_000 + nth * nth * 100).collect();
+    let by_latency = served / LATENCIES_PER_CLASS;
+    let latencies: Vec<u64> = (1..=LATENCIES_PER_CLASS)
+        .map(|nth| 4_000 + nth * nth * 100)
+        .collect();
     pb::ClassCounters {
         class: format!("class-{class}"),
         requests: calls as u64,
-        served: by_latency * LATENCIES,
+        served: by_latency * LATENCIES_PER_CLASS,
         failed,
         value_requested: calls,
         value_served: calls - failed as f64,
@@ -76,7 +78,7 @@
     }
 }
 
-/// All front ends.
+/// All front ends of the fleet.
 pub(super) struct RolloutFleet {
     front_ends: Vec<FrontEnd>,
     indices: BTreeMap<String, usize>,
@@ -85,7 +87,7 @@
 }
 
 impl RolloutFleet {
-    /// So many front ends that have run for a while.
+    /// Creates front ends that run the old program and have been up for [`INITIAL_UPTIME`].
     pub fn new(front_ends: usize, classes: usize, seed: u64) -> RolloutFleet {
         let targets = plan(front_ends).stages.into_iter().flatten();
         let front_ends: Vec<FrontEnd> = targets.map(FrontEnd::new).collect();
@@ -102,13 +104,13 @@
         }
     }
 
-    /// The front end of this name.
+    /// Returns the front end with this name.
     pub fn get(&self, name: &str) -> Option<&FrontEnd> {
         let index = self.indices.get(name)?;
         self.front_ends.get(*index)
     }
 
-    /// A front end ends, and restarts with the new program.
+    /// Restarts a front end with the new program.
     pub fn restart(&mut self, name: &str, now: Time) {
         let index = self.indices.get(name);
         if let Some(front_end) = index.and_then(|index| self.front_ends.get_mut(*index)) {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Front ends whose restart is over by now are ready.
+    /// Completes the restarts that are due by `now`.
     pub fn pass_time(&mut self, now: Time) {
         for front_end in &mut self.front_ends {
             let restarted = front_end.restarts_at.take_if(|at| *at <= now);
@@ -129,7 +131,7 @@
         }
     }
 
-    /// The encoded replies of those that are ready.
+    /// The encoded replies of the ready front ends.
     pub fn replies(&mut self, now: Time) -> Vec<Vec<u8>> {
         let (classes, rng) = (self.classes, &mut self.rng);
         let ready = self.front_ends.iter().filter(|f| f.is_ready);
@@ -139,7 +141,7 @@
     }
 }
 
-/// Decodes replies as a controller does.
+/// Decodes replies as the controller does.
 pub(super) fn observe(replies: &[Vec<u8>]) -> Vec<FrontEndObservation> {
     let observation = |bytes: &Vec<u8>| {
         let reply = pb::CountsReply::decode(bytes.as_slice()).ok()?;
--- a/benches/state/src/workers.rs
+++ b/benches/state/src/workers.rs
@@ -1,7 +1,8 @@
-//! The load on workers from many front ends: the dispatchers of a small fleet, one pool of workers for all, in virtual time.
+//! Load on workers from many front ends: the dispatchers of a small fleet and a shared pool of simulated workers, in virtual
+//! time.
 //!
-//! The dispatchers decide; workers do simple things here (see `serving.rs`). The fleet stands for a larger one if functions,
-//! instances and front ends are in the same proportion: each front end receives as many calls.
+//! The dispatchers are the real ones; the workers follow the simple rules in `serving.rs`. The fleet represents a larger one
+//! with the same ratio of functions and instances to front ends, since each front end receives calls at the same rate.
 
 mod cold_starts;
 mod commands;
@@ -26,9 +27,9 @@
 use tansyrouter::{Micros, SECOND};
 use worker::SimulatedWorker;
 
-/// One way between a front end and a worker.
+/// One-way delay between a front end and a worker.
 const NETWORK_DELAY: Micros = 1_000;
-/// How long a worker runs a call.
+/// Time that a worker takes to run a call.
 const WORK_TIME: Micros = 20_000;
 
 const SERVED: AttemptOutcome = AttemptOutcome::Status {
@@ -40,13 +41,13 @@
     stage: ResponseStage::Nothing,
 };
 
-/// How a site's workers treat connections.
+/// Connection limits of a site's workers.
 struct Site {
-    /// The field with its figures.
+    /// Output field for the site's figures.
     output_name: &'static str,
-    /// Idle time after which its workers close a connection.
+    /// Idle time after which workers close a connection.
     worker_idle_timeout: Micros,
-    /// Streams of one connection at a time.
+    /// Concurrent streams per connection.
     max_streams: u32,
 }
 
@@ -64,7 +65,7 @@
 ];
 
 impl Site {
-    /// Front ends close a connection after three quarters of the time after which workers would.
+    /// Front ends close an idle connection after three quarters of the workers' idle timeout.
     fn keep_alive(&self) -> KeepAlivePolicy {
         KeepAlivePolicy {
             idle_timeout: Some(self.worker_idle_timeout / 4 * 3),
@@ -73,27 +74,27 @@
     }
 }
 
-/// What a worker received of all front ends, and the loads that it made.
+/// Requests that a worker received from all front ends, and loads that it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkerCounters {
     /// Attempts.
     pub attempts: u64,
     /// Control requests, by [`ControlRequestKind`].
     pub control_requests: [u64; ControlRequestKind::COUNT],
-    /// Loads that it made.
+    /// Loads that the worker started.
     pub loads: u64,
 }
 
-/// Calls since the measurement began.
+/// Call counts since the measurement began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounters {
     /// All calls.
     pub total: u64,
-    /// Those of functions that their front end had called within the idle life of an instance.
+    /// Calls of functions that the same front end had called within the idle life of an instance.
     pub known_to_front_end: u64,
-    /// Those of functions that any front end had called within it.
+    /// Calls of functions that any front end had called within the idle life of an instance.
     pub known_to_fleet: u64,
-    /// Calls that were answered otherwise than served.
+    /// Calls that were answered without being served.
     pub unserved: u64,
 }
 
@@ -105,24 +106,24 @@
     popularity: FunctionPopularity,
     front_ends: Vec<SimulatedFrontEnd>,
     workers: Vec<SimulatedWorker>,
-    /// By function: instances that are loaded or being loaded.
+    /// By function: number of instances that are loaded or being loaded.
     instance_counts: Vec<u32>,
-    /// By function: when any front end called it last.
+    /// By function: time of the last call from any front end.
     last_called: Vec<Option<Micros>>,
     rejects_misses: bool,
     idle_life: Micros,
-    /// Connections under each keep-alive policy: as the program keeps them, then as each of [`SITES`] does.
+    /// Connections under each keep-alive policy: the program's own, then that of each of [`SITES`].
     connections: Vec<ConnectionPool>,
-    /// Commands of a step, kept for their memory.
+    /// Buffer for the commands of a step, reused between steps.
     commands: Vec<Command>,
     calls: CallCounters,
     cold_starts: ColdStartStatistics,
-    /// Wall time of the step that takes a call.
+    /// Wall time of steps that take a call.
     decision_time: Distribution,
 }
 
 impl WorkerSimulation {
-    /// A fleet without connections, whose workers have no instance.
+    /// Creates a fleet without connections and loaded instances.
     pub fn new(args: &Args) -> Result<WorkerSimulation, BenchError> {
         let function_names = inputs::function_names(args.functions, args.seed);
         let workers = args.instances.div_ceil(INSTANCES_PER_WORKER).max(1);
@@ -150,7 +151,7 @@
         Ok(simulation)
     }
 
-    /// Gives each front end the list of workers, and its first call.
+    /// Gives each front end the worker list and schedules its first call.
     fn list_workers(&mut self) {
         let listed: Vec<_> = (0..self.workers.len()).map(inputs::worker_record).collect();
         for front_end in 0..self.front_ends.len() {
@@ -163,9 +164,9 @@
         }
     }
 
-    /// Lets this much time pass.
-    pub fn run(&mut self, span: Micros) {
-        let end = self.queue.now() + span;
+    /// Runs the simulation for this virtual time.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.queue.now() + duration;
         while let Some(event) = self.queue.pop_until(end) {
             self.on_event(event);
         }
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Starts to measure: what was counted so far is dropped.
+    /// Starts a measurement, discarding earlier counts.
     pub fn start_measurement(&mut self) {
         let now = self.queue.now();
         for worker in &mut self.workers {
@@ -225,18 +226,18 @@
         self.decision_time = Distribution::default();
     }
 
-    /// Each n-th worker answers nothing from here on.
+    /// Makes every n-th worker stop answering.
     pub fn silence(&mut self, each_nth: usize) {
         let silenced = self.workers.iter_mut().step_by(each_nth.max(1));
         silenced.for_each(|worker| worker.silent = true);
     }
 
-    /// What each worker received since the measurement began.
+    /// Counters of each worker since the measurement began.
     pub fn worker_counters(&self) -> Vec<WorkerCounters> {
         self.workers.iter().map(|worker| worker.counters).collect()
     }
 
-    /// What each front end counted since its start.
+    /// Counters of each front end since its start.
     pub fn dispatcher_counters(&self) -> Vec<Counters> {
         let front_ends = self.front_ends.iter();
         front_ends
@@ -244,24 +245,24 @@
             .collect()
     }
 
-    /// Control requests and attempts on their way to a worker now.
-    pub fn on_the_way(&self) -> (u64, u64) {
-        self.queue.on_the_way()
+    /// Numbers of control requests and attempts in flight to a worker.
+    pub fn in_flight(&self) -> (u64, u64) {
+        self.queue.in_flight()
     }
 
-    /// Streams that the front ends have open.
+    /// Number of streams that the front ends have open.
     pub fn open_streams(&self) -> u64 {
         let streams = |f: &SimulatedFrontEnd| f.attempts.len() + f.control_requests.len();
         self.front_ends.iter().map(streams).sum::<usize>() as u64
     }
 
-    /// Connections under each keep-alive policy: as the program keeps them, then as each site does.
+    /// Connections under each keep-alive policy: the program's own, then that of each site.
     pub fn connections(&self) -> &[ConnectionPool] {
         &self.connections
     }
 }
 
-/// A pool for the program, which keeps every connection, and one for each site.
+/// A pool for the program's own policy, which keeps every connection, and one for each site.
 fn connection_pools(workers: usize) -> Vec<ConnectionPool> {
     let keep_all = KeepAlivePolicy {
         idle_timeout: None,
--- a/benches/state/src/workers/cold_starts.rs
+++ b/benches/state/src/workers/cold_starts.rs
@@ -1,17 +1,17 @@
-//! Cold starts: calls of functions that no worker had when they came.
+//! Cold starts: calls of functions that no worker had loaded on arrival.
 
 use crate::measure::Distribution;
 use tansyrouter::Micros;
 
-/// A call of a function that no worker had, until it is answered.
+/// A cold start whose call has not been answered.
 pub(super) struct PendingColdStart {
     pub call: u64,
     pub arrived: Micros,
-    /// When the load request left.
+    /// When the load request was sent.
     pub load_requested: Option<Micros>,
-    /// When the front end learned that the load was done.
+    /// When the front end learned that the load had finished.
     pub load_answered: Option<Micros>,
-    /// When the last attempt left.
+    /// When the last attempt was sent.
     pub sent: Option<Micros>,
 }
 
@@ -27,25 +27,25 @@
     }
 }
 
-/// How long cold starts took, by part.
+/// Times of the parts of cold starts, and counts.
 #[derive(Default)]
 pub struct ColdStartStatistics {
     /// From the call to the load request.
     pub load_request_wait: Distribution,
     /// From the answer to the load request to the attempt that was served.
     pub send_wait: Distribution,
-    /// From the call to that attempt, less the time from the load request to its answer.
+    /// From the call to that attempt, minus the time from the load request to its answer.
     pub front_end_share: Distribution,
     /// From the call to the answer.
     pub total: Distribution,
-    /// Calls.
+    /// Calls of functions that no worker had loaded on arrival.
     pub calls: u64,
-    /// Calls that were answered otherwise than served.
+    /// Recorded cold starts that were answered without being served.
     pub unserved: u64,
 }
 
 impl ColdStartStatistics {
-    /// A cold start is answered.
+    /// Records an answered cold start.
     pub(super) fn record(&mut self, cold_start: &PendingColdStart, now: Micros, served: bool) {
         let Some(sent) = cold_start.sent.filter(|_| served) else {
             self.unserved += 1;
--- a/benches/state/src/workers/commands.rs
+++ b/benches/state/src/workers/commands.rs
@@ -1,4 +1,4 @@
-//! What a front end's dispatcher commands, executed in the simulation.
+//! Executes the commands of a front end's dispatcher in the simulation.
 
 use super::events::{AttemptId, ControlId, ControlRequestKind, Event};
 use super::WorkerSimulation;
@@ -83,7 +83,7 @@
         self.queue.schedule(delay, event);
     }
 
-    /// A request for no instance only queries their number.
+    /// Sends a load request, or a query if `instances` is 0.
     fn send_load(&mut self, id: ControlId, worker: &str, function: &str, instances: u32) {
         let function = self.function_index(function);
         if instances == 0 {
@@ -103,7 +103,7 @@
         self.send_control_request(id, worker, ControlRequestKind::Unload, function);
     }
 
-    /// A probe is of no function.
+    /// Sends a probe. Probes have no function; index 0 is a placeholder.
     fn send_probe(&mut self, id: ControlId, worker: &str) {
         self.send_control_request(id, worker, ControlRequestKind::Probe, 0);
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// An attempt left at once, or waits for its connection, which is made soon.
+    /// Confirms that an attempt was sent. Connections are always established, so every attempt is sent.
     fn confirm_sent(&mut self, id: AttemptId) {
         let attempts = &self.front_ends[id.front_end].attempts;
         if attempts.contains_key(&(id.call, id.attempt)) {
--- a/benches/state/src/workers/events.rs
+++ b/benches/state/src/workers/events.rs
@@ -1,10 +1,10 @@
-//! Events of the simulation, in the order of virtual time.
+//! Events of the simulation, ordered by virtual time.
 
 use std::collections::BTreeMap;
 use tansy_dispatch::{AttemptOutcome, CacheStatus, Trailers};
 use tansyrouter::Micros;
 
-/// An attempt of a call, across all front ends.
+/// Identifies an attempt of a call across all front ends.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptId {
     pub front_end: usize,
@@ -12,14 +12,14 @@
     pub attempt: u32,
 }
 
-/// A control request, across all front ends.
+/// Identifies a control request across all front ends.
 #[derive(Clone, Copy)]
 pub(super) struct ControlId {
     pub front_end: usize,
     pub request: u64,
 }
 
-/// What a control request asks of a worker; its place in [`super::WorkerCounters::control_requests`].
+/// Kind of control request; its discriminant indexes [`super::WorkerCounters::control_requests`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlRequestKind {
     /// Load an instance.
@@ -28,7 +28,7 @@
     Query,
     /// Unload an idle instance.
     Unload,
-    /// Show that the worker answers.
+    /// Check that the worker answers.
     Probe,
 }
 
@@ -50,7 +50,7 @@
 pub(super) enum Event {
     /// A client's call arrives at a front end.
     CallArrives { front_end: usize },
-    /// A front end's timer runs out.
+    /// A front end's timer expires.
     TimerDue { front_end: usize, due: Micros },
     /// An attempt arrives at a worker.
     AttemptArrives {
@@ -67,19 +67,19 @@
     },
     /// A worker has loaded an instance.
     InstanceLoaded { worker: usize, function: usize },
-    /// A worker has run a call.
+    /// A worker has finished a call.
     CallFinished {
         worker: usize,
         function: usize,
         request: WorkerRequest,
     },
-    /// The idle life of an instance is over if nothing used it since.
+    /// The idle life of an instance ends, unless it has been used since `idle_since`.
     IdleTimeout {
         worker: usize,
         function: usize,
         idle_since: Micros,
     },
-    /// A front end learns that an attempt has left.
+    /// A front end learns that an attempt was sent.
     AttemptSent(AttemptId),
     /// A front end learns how an attempt ended.
     AttemptEnded {
@@ -95,7 +95,7 @@
     },
 }
 
-/// The clock, and the events to come; those of one moment in the order in which they were scheduled.
+/// The virtual clock and the pending events. Events of the same time are ordered by when they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     now: Micros,
@@ -114,7 +114,7 @@
         self.events.insert((due, self.scheduled), event);
     }
 
-    /// The next event up to this moment, to which the clock moves; without one the clock moves to `end`.
+    /// Removes the next event up to `end` and advances the clock to it, or to `end` if there is none.
     pub fn pop_until(&mut self, end: Micros) -> Option<Event> {
         let next = self.events.first_entry().filter(|e| e.key().0 <= end);
         let Some(entry) = next else {
@@ -126,8 +126,8 @@
         Some(event)
     }
 
-    /// Control requests and attempts on their way to a worker.
-    pub fn on_the_way(&self) -> (u64, u64) {
+    /// Numbers of control requests and attempts in flight to a worker.
+    pub fn in_flight(&self) -> (u64, u64) {
         let count = |matches: fn(&Event) -> bool| {
             self.events.values().filter(|event| matches(event)).count() as u64
         };
--- a/benches/state/src/workers/front_end.rs
+++ b/benches/state/src/workers/front_end.rs
@@ -1,4 +1,4 @@
-//! The front ends of the simulation: a dispatcher each, the calls that clients send them, and what they learn of workers.
+//! The front ends of the simulation: their dispatchers, incoming calls, and results from workers.
 
 use super::cold_starts::PendingColdStart;
 use super::events::{AttemptId, ControlId, Event};
@@ -11,7 +11,7 @@
 use tansy_dispatch::{AttemptOutcome, CallId, ControlRequestId, Dispatcher, Input, Trailers};
 use tansyrouter::{Micros, MissPolicy, Reports, Settings, Time};
 
-/// A stream that is open to a worker: its connection under each keep-alive policy.
+/// An open stream to a worker, with its connection under each keep-alive policy.
 pub(super) struct OpenStream {
     worker: usize,
     function: usize,
@@ -24,13 +24,13 @@
     rng: fastrand::Rng,
     next_timer: Option<Micros>,
     calls: u64,
-    /// The functions of calls that are not answered yet.
+    /// Functions of the unanswered calls.
     pub open_calls: HashMap<u64, usize>,
     pub attempts: HashMap<(u64, u32), OpenStream>,
     pub control_requests: HashMap<u64, OpenStream>,
-    /// By function.
+    /// By function: time of the last call.
     last_called: HashMap<usize, Micros>,
-    /// Calls of functions that no worker had, at most one of each function.
+    /// Pending cold starts, at most one per function.
     pub cold_starts: HashMap<usize, PendingColdStart>,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Settings of one front end; what is not given is as the settings' schema has it (settings/src/schema.cue).
+/// Settings of one front end; others have the defaults of `settings/src/schema.cue`.
 pub(super) fn settings(args: &Args, front_end: usize) -> Settings {
     let miss_policy = if args.miss {
         MissPolicy::Miss
@@ -74,7 +74,7 @@
 }
 
 impl WorkerSimulation {
-    /// Feeds an input to a front end's dispatcher and executes the commands that follow.
+    /// Feeds an input to a front end's dispatcher and executes the resulting commands.
     pub(super) fn step_dispatcher(&mut self, index: usize, input: Input) {
         let now = self.queue.now();
         let front_end = &mut self.front_ends[index];
@@ -135,7 +135,7 @@
         self.decision_time.add(started.elapsed());
     }
 
-    /// Counts a call by who called its function within the idle life of an instance.
+    /// Counts a call by whether this or any front end called the function within the idle life of an instance.
     fn count_call(&mut self, index: usize, function: usize) {
         let (now, idle_life) = (self.queue.now(), self.idle_life);
         let is_recent = |at: Option<Micros>| at.is_some_and(|at| now - at < idle_life);
@@ -146,7 +146,7 @@
         self.calls.known_to_fleet += u64::from(is_recent(by_fleet));
     }
 
-    /// Opens a stream to a worker; when a request on it arrives there.
+    /// Opens a stream to a worker; returns it with the delay until a request on it arrives there.
     pub(super) fn open_stream(
         &mut self,
         front_end: usize,
@@ -158,7 +158,7 @@
         let started: Vec<_> = pools
             .map(|pool| pool.begin_stream(now, front_end, worker))
             .collect();
-        // The program itself keeps connections as the first pool does, and makes a new one before it sends.
+        // The first pool has the program's own policy; a new connection takes a round trip before the request is sent.
         let handshake = if started.first().is_some_and(|start| start.is_new) {
             2 * NETWORK_DELAY
         } else {
--- a/benches/state/src/workers/measurement.rs
+++ b/benches/state/src/workers/measurement.rs
@@ -1,4 +1,4 @@
-//! The benchmark: the load on each worker in a steady fleet, the cold starts of all front ends, then silent workers.
+//! The benchmark: load on each worker in a steady fleet, cold starts of all front ends, and the effect of silent workers.
 
 use super::{ControlRequestKind, WorkerCounters, WorkerSimulation, SITES};
 use crate::inputs;
@@ -7,14 +7,14 @@
 use serde_json::json;
 use tansyrouter::{Micros, SECOND};
 
-/// Until the fleet is steady: longer than connections stay idle and rates are remembered.
+/// Time until the fleet is steady: longer than idle timeouts of connections and the window of rate estimates.
 const WARM_UP: Micros = 20 * SECOND;
-/// How long the steady fleet is measured.
-const MEASURED: Micros = 10 * SECOND;
-/// How long it is measured afterwards with some workers silent.
-const SILENT: Micros = 10 * SECOND;
-/// One of so many workers falls silent.
-const SILENT_ONE_OF: usize = 20;
+/// Time for which the steady fleet is measured.
+const MEASURED_PERIOD: Micros = 10 * SECOND;
+/// Time for which the fleet is then measured with silent workers.
+const SILENT_PERIOD: Micros = 10 * SECOND;
+/// One in this many workers becomes silent.
+const WORKERS_PER_SILENT: usize = 20;
 
 fn seconds(span: Micros) -> f64 {
     span as f64 / 1e6
@@ -24,25 +24,25 @@
     part as f64 / total.max(1) as f64
 }
 
-/// Connections, control requests and probes at a worker, and the cold starts of all, in a steady fleet; then with silent workers.
+/// Measures connections, control requests and cold starts in a steady fleet, then probes and unserved calls with silent workers.
 pub(crate) fn worker_load(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let mut simulation = WorkerSimulation::new(args)?;
     simulation.run(WARM_UP);
     simulation.start_measurement();
-    simulation.run(MEASURED);
+    simulation.run(MEASURED_PERIOD);
     output.count("workers", simulation.workers.len());
     output.count("miss", usize::from(args.miss));
     output.figure("steady_s", seconds(WARM_UP));
-    output.figure("measured_s", seconds(MEASURED));
+    output.figure("measured_s", seconds(MEASURED_PERIOD));
     let shares = simulation.popularity.shares();
     output.figure("seldom", inputs::rarely_called_share(&shares));
     add_connections(&mut simulation, output);
     add_worker_rates(&simulation, output);
     add_calls(&simulation, output);
     add_cold_starts(&simulation, output);
-    simulation.silence(SILENT_ONE_OF);
+    simulation.silence(WORKERS_PER_SILENT);
     simulation.start_measurement();
-    simulation.run(SILENT);
+    simulation.run(SILENT_PERIOD);
     add_silent_workers(&simulation, output);
     Ok(())
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// The mean and the maximum of a count over some workers, by the second.
+/// Adds the mean and the maximum over workers of a count per second.
 fn add_rate(
     name: &str,
     counts: impl Iterator<Item = u64> + Clone,
@@ -84,7 +84,7 @@
 fn add_worker_rates(simulation: &WorkerSimulation, output: &mut OutputRecord) {
     let counters: Vec<WorkerCounters> = simulation.workers.iter().map(|w| w.counters).collect();
     let mut add = |name: &str, count: &dyn Fn(&WorkerCounters) -> u64| {
-        add_rate(name, counters.iter().map(count), MEASURED, output);
+        add_rate(name, counters.iter().map(count), MEASURED_PERIOD, output);
     };
     let of_kind = |kind: ControlRequestKind| {
         move |counters: &WorkerCounters| counters.control_requests[kind as usize]
@@ -99,7 +99,7 @@
     });
     add("loads_s", &|counters| counters.loads);
     let loads: u64 = counters.iter().map(|counters| counters.loads).sum();
-    output.figure("fleet_loads_s", loads as f64 / seconds(MEASURED));
+    output.figure("fleet_loads_s", loads as f64 / seconds(MEASURED_PERIOD));
 }
 
 fn add_calls(simulation: &WorkerSimulation, output: &mut OutputRecord) {
@@ -135,7 +135,7 @@
     output.count("silent", silent.clone().count());
     let probes =
         silent.map(|worker| worker.counters.control_requests[ControlRequestKind::Probe as usize]);
-    add_rate("silent_probes_s", probes, SILENT, output);
+    add_rate("silent_probes_s", probes, SILENT_PERIOD, output);
     let calls = &simulation.calls;
     output.figure("silent_unserved", share(calls.unserved, calls.total));
 }
--- a/benches/state/src/workers/serving.rs
+++ b/benches/state/src/workers/serving.rs
@@ -1,5 +1,5 @@
-//! What workers do: they load on a miss or on a load request, some at a time, keep an instance for its idle life, and run a
-//! bounded number of its calls at a time.
+//! Behaviour of the simulated workers: they load an instance on a miss or a load request, unload it after its idle life, and
+//! limit concurrent loads and concurrent calls per instance.
 
 use super::events::{AttemptId, ControlId, ControlRequestKind, Event, WorkerRequest};
 use super::worker::Instance;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Makes room for one more instance, by removing the one that has been idle for longest; whether there is room then.
+    /// Makes room for an instance, if necessary by removing the longest idle one; returns whether there is room.
     fn make_room(&mut self, worker: usize) -> bool {
         let state = &self.workers[worker];
         if state.has_room() {
@@ -139,7 +139,7 @@
         true
     }
 
-    /// Queues a load, for which the request waits; whether there was room.
+    /// Queues a load and the request that waits for it; returns whether there was room.
     fn load(&mut self, worker: usize, function: usize, request: WorkerRequest) -> bool {
         if !self.make_room(worker) {
             return false;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Runs what waits for an instance, as far as its lanes go; one with nothing to run is idle from here on.
+    /// Runs the requests that wait for an instance while it has free lanes. The idle life starts if nothing is running.
     fn run_waiting(&mut self, worker: usize, function: usize) {
         loop {
             let Some(instance) = self.instance_mut(worker, function) else {
@@ -207,7 +207,7 @@
         self.start_idle_life(worker, function);
     }
 
-    /// Starts the idle life of an instance, if it is idle.
+    /// Starts the idle life of an instance if it is idle.
     fn start_idle_life(&mut self, worker: usize, function: usize) {
         let now = self.queue.now();
         let Some(instance) = self.instance_mut(worker, function) else {
--- a/benches/state/src/workers/worker.rs
+++ b/benches/state/src/workers/worker.rs
@@ -1,4 +1,4 @@
-//! A worker and its instances: what is loaded, what runs and what waits. It has no clock of its own.
+//! A worker and its instances: loads, running calls and queued requests. The state does not depend on the clock.
 
 use super::events::WorkerRequest;
 use super::WorkerCounters;
@@ -7,13 +7,13 @@
 use tansy_dispatch::LoadReport;
 use tansyrouter::Micros;
 
-/// Calls that an instance runs at a time.
+/// Concurrent calls per instance.
 pub(super) const LANES: u32 = 4;
-/// Loads that a worker runs at a time, as the sites under `deploy/` set it.
+/// Concurrent loads per worker, as configured for the sites under `deploy/`.
 const MAX_CONCURRENT_LOADS: usize = 4;
-/// Instances that fit into a worker.
+/// Maximum number of instances per worker.
 const MAX_INSTANCES: usize = 2 * INSTANCES_PER_WORKER;
-/// Calls that keep all cores of a worker busy.
+/// Number of concurrent calls that use all cores of a worker.
 const CALLS_AT_FULL_UTILIZATION: f64 = 8.0;
 
 /// An instance of a function, loaded or being loaded.
@@ -47,7 +47,7 @@
     loading: usize,
     load_queue: VecDeque<usize>,
     running: u32,
-    /// It answers nothing.
+    /// Whether the worker ignores all requests.
     pub silent: bool,
     pub counters: WorkerCounters,
 }
@@ -57,7 +57,7 @@
         self.instances.len() < MAX_INSTANCES
     }
 
-    /// The function whose instance has been idle for longest.
+    /// The function whose instance has been idle the longest.
     pub fn longest_idle(&self) -> Option<usize> {
         self.instances
             .iter()
@@ -66,7 +66,7 @@
             .map(|(function, _)| *function)
     }
 
-    /// Queues a load, for which the request waits.
+    /// Queues a load and the request that waits for it.
     pub fn enqueue_load(&mut self, function: usize, request: WorkerRequest) {
         self.counters.loads += 1;
         let instance = Instance {
@@ -77,7 +77,7 @@
         self.load_queue.push_back(function);
     }
 
-    /// The next load to start, if a slot is free.
+    /// Starts the next queued load if a slot is free, and returns its function.
     pub fn start_load(&mut self) -> Option<usize> {
         if self.loading >= MAX_CONCURRENT_LOADS {
             return None;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Starts a call in a function's instance; whether there is one.
+    /// Starts a call in a function's instance; returns whether the instance exists.
     pub fn start_call(&mut self, function: usize) -> bool {
         let Some(instance) = self.instances.get_mut(&function) else {
             return false;
@@ -104,7 +104,7 @@
         true
     }
 
-    /// Ends a call in a function's instance; whether there is one.
+    /// Ends a call in a function's instance; returns whether the instance exists.
     pub fn finish_call(&mut self, function: usize) -> bool {
         let Some(instance) = self.instances.get_mut(&function) else {
             return false;
@@ -114,7 +114,7 @@
         true
     }
 
-    /// The load report that goes with each answer.
+    /// The load report sent with each answer.
     pub fn load_report(&self) -> LoadReport {
         let utilization = f64::from(self.running) / CALLS_AT_FULL_UTILIZATION;
         LoadReport {
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -1,5 +1,5 @@
-//! Small sizes: the fields of a line, that its bytes are those of the real encodings, the largest message, and rejected
-//! arguments. No assertion rests on a time.
+//! Runs each measurement at a small size: output fields, encoded sizes, the largest message and rejected arguments. No
+//! assertion depends on a duration.
 
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -199,7 +199,7 @@
     assert_eq!(count(&measured("leaving", &[]), "remembered"), 300);
     let log = measured("log", &[]);
     assert_eq!((count(&log, "versions"), count(&log, "changes")), (4, 3));
-    // The settings list the functions, or calls describe them: both ways all are known.
+    // All functions are known, whether the settings list them or calls describe them.
     for words in [&[][..], &["--unlisted"]] {
         let ledger = measured("ledger", words);
         assert_eq!(count(&ledger, "functions_held"), 50, "{ledger}");
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_seed_says_what_is_called_and_what_is_named() {
+fn the_seed_determines_calls_and_function_names() {
     let counts = |seed: &str| {
         let line = measured("ledger", &["--seed", seed]);
         ["calls", "unserved", "functions_held"].map(|f| count(&line, f))
@@ -284,7 +284,7 @@
             count(&letter, "force_bytes"),
             encode_grant(fleet_state(&names, false)).len() as u64
         );
-        // A record holds the proposal, and little else.
+        // The record contains the proposal and at most 100 bytes more.
         let fields = inputs::with_lanes(&inputs::version_fields(&names), &names[0], 2);
         let entry = LogEntry::Propose {
             id: 1,
@@ -332,12 +332,12 @@
         count(&line, "log_bytes")
     };
     let (few, many) = (bytes(5_000), bytes(10_000));
-    // A name and four fields each; the history of changes is as long in both.
+    // Each function adds a name and four fields; the change history has the same length in both.
     assert!((300_000..450_000).contains(&(many - few)), "{few} {many}");
 }
 
 #[test]
-fn no_front_end_can_read_a_grant_of_one_function_more_than_the_most() {
+fn a_grant_above_the_maximum_number_of_functions_cannot_be_read() {
     let most = max_functions_of_grant(1, true);
     let message =
         |functions| encode_grant(fleet_state(&inputs::function_names(functions, 1), true));
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn the_largest_number_is_found_from_either_side() {
+fn the_largest_satisfying_number_is_found() {
     for limit in [0, 1, 2, 3, 7, 8, 9, 1000] {
         assert_eq!(largest_satisfying(|number| number <= limit), limit);
     }
--- a/benches/state/tests/workers.rs
+++ b/benches/state/tests/workers.rs
@@ -1,5 +1,5 @@
-//! The load on workers: open connections are those opened less those closed, each control request counts once at one worker,
-//! and a seed determines everything.
+//! Load on workers: connection counts match a reference model, each control request is counted once, and the seed determines
+//! the result.
 
 use std::collections::BTreeMap;
 use tansy_bench_state::connections::{
@@ -28,7 +28,7 @@
     last_used: Micros,
 }
 
-/// A slow reference model of the same openings and ends: at each step it checks every connection for its idle timeout.
+/// A simple reference model of the pool, which checks every connection for its idle timeout at each step.
 #[derive(Default)]
 struct ReferencePool {
     connections: BTreeMap<u64, ReferenceConnection>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A pool and its reference, driven alike.
+/// A pool and its reference model, driven by the same operations.
 struct ComparedPools {
     policy: KeepAlivePolicy,
     pool: ConnectionPool,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Begins a stream; the number of its connection.
+    /// Begins a stream and returns its connection's identifier.
     fn begin_stream(&mut self, now: Micros, front_end: usize, worker: usize) -> u64 {
         let max_streams = self.policy.max_streams;
         let had_room = self.reference.has_room(front_end, worker, max_streams);
         let start = self.pool.begin_stream(now, front_end, worker);
         assert_eq!(
             start.is_new, !had_room,
-            "a new one only where none has room"
+            "a connection is opened only if no other has room"
         );
         self.reference.opened += u64::from(start.is_new);
         let connections = &mut self.reference.connections;
@@ -91,7 +91,7 @@
         assert_eq!(
             (connection.front_end, connection.worker),
             (front_end, worker),
-            "a connection leads to one worker"
+            "a connection belongs to one front end and one worker"
         );
         connection.streams += 1;
         connection.last_used = now;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn connections_are_those_opened_less_those_closed() {
+fn connection_counts_match_the_reference_model() {
     let policies = [
         (None, u32::MAX),
         (Some(50), 1),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn connections_on_average_are_their_time_over_all_time() {
+fn mean_connections_are_weighted_by_time() {
     let policy = KeepAlivePolicy {
         idle_timeout: Some(100),
         max_streams: 1,
@@ -177,7 +177,7 @@
     let mut pool = ConnectionPool::new(2, policy);
     let early = pool.begin_stream(0, 0, 0).connection;
     pool.start_measurement(50);
-    // It is open from the start of the measurement to 200 and 100 more, and one at the other worker from 150 on.
+    // The first connection is open from the start of the measurement at 50 until 300, a second one from 350 to the end at 450.
     pool.end_stream(200, 0, 0, early);
     assert!(pool.begin_stream(350, 1, 1).is_new);
     let expected = ConnectionUsage {
@@ -186,7 +186,7 @@
         opened_per_s: 1.0 / 400e-6 / 2.0,
     };
     assert_eq!(pool.usage(450), expected);
-    // An end that is reported twice, or of a connection that never was, changes nothing.
+    // Ending a stream twice, or on an unknown connection, has no effect.
     pool.end_stream(450, 0, 0, early);
     pool.end_stream(450, 0, 1, 99);
     let counts = ConnectionCounts {
@@ -210,7 +210,7 @@
     sum
 }
 
-/// Open connections are those opened less those closed, in all and by worker.
+/// Asserts that opened minus closed connections equals open ones, in total and summed over workers.
 fn assert_consistent(pool: &ConnectionPool) {
     let counts = pool.counts();
     assert_eq!(counts.opened - counts.closed, counts.open);
@@ -235,10 +235,10 @@
         let counters = simulation.dispatcher_counters();
         let sent =
             |count: fn(&tansy_dispatch::Counters) -> u64| counters.iter().map(count).sum::<u64>();
-        let (requests_on_the_way, attempts_on_the_way) = simulation.on_the_way();
+        let (requests_in_flight, attempts_in_flight) = simulation.in_flight();
         assert_eq!(
             sent(|c| c.attempts),
-            received.attempts + attempts_on_the_way,
+            received.attempts + attempts_in_flight,
             "attempts, miss {miss}, silent {silent}"
         );
         let sent_by_kind = [
@@ -249,10 +249,10 @@
         ];
         assert_eq!(
             sent_by_kind.iter().sum::<u64>(),
-            received.control_requests.iter().sum::<u64>() + requests_on_the_way,
+            received.control_requests.iter().sum::<u64>() + requests_in_flight,
             "control requests, miss {miss}, silent {silent}"
         );
-        if requests_on_the_way == 0 {
+        if requests_in_flight == 0 {
             let kinds = [
                 ControlRequestKind::Load,
                 ControlRequestKind::Query,
@@ -274,14 +274,14 @@
             !silent || received.control_requests[ControlRequestKind::Probe as usize] > 0,
             "silent workers were not probed"
         );
-        // What is open by the front ends is open on connections, and no front end's count is off.
+        // Connections are counted consistently, and no guard rejected an action of a router.
         simulation.connections().iter().for_each(assert_consistent);
         assert!(simulation.open_streams() > 0 && counters.iter().all(|c| c.guard_rejections == 0));
     }
 }
 
 #[test]
-fn a_connection_that_is_kept_is_one_of_each_pair_and_sites_keep_no_more_pairs() {
+fn kept_connections_are_at_most_one_per_front_end_and_worker() {
     let mut simulation = WorkerSimulation::new(&args(9, false, 2)).expect("a fleet");
     simulation.run(20 * SECOND);
     let workers = simulation.worker_counters().len();
@@ -289,10 +289,10 @@
     let open = keep_all.open_by_worker();
     assert!(
         open.iter().all(|count| *count <= 9),
-        "more than one of a pair: {open:?}"
+        "more than one connection per front end: {open:?}"
     );
     assert_eq!(open.len(), workers);
-    assert_eq!(keep_all.counts().closed, 0, "one that is kept was closed");
+    assert_eq!(keep_all.counts().closed, 0, "a kept connection was closed");
 }
 
 #[test]
@@ -301,7 +301,7 @@
         let mut line = measure_in_process(&args(8, false, seed))
             .expect("a measurement")
             .json(true);
-        // Wall times differ by run.
+        // Wall times differ between runs.
         line.as_object_mut().expect("an object").remove("decide_us");
         line
     };
