--- a/benches/cost/src/fleet.rs
+++ b/benches/cost/src/fleet.rs
@@ -183,7 +183,7 @@
     )))
 }
 
-/// Arguments that make a gateway a front end of the fleet, and a voter if it has that number.
+/// Arguments with which gateway `number` joins the fleet; the one numbered [`VOTER`] also stores a voter's state.
 fn member_arguments(number: usize, address: SocketAddr, folder: &Path) -> Vec<String> {
     let name = format!("f{number}");
     let mut arguments = vec!["--name".into(), name, "--peers".into(), address.to_string()];
--- a/benches/state/src/args.rs
+++ b/benches/state/src/args.rs
@@ -159,7 +159,7 @@
     }
 
     /// The measurement and its size as command-line arguments.
-    pub(crate) fn words(&self) -> Vec<String> {
+    pub(crate) fn command_line(&self) -> Vec<String> {
         let mut words = Vec::new();
         if let Some(measurement) = self.measurement {
             words.extend(["--what".to_string(), measurement.name()]);
@@ -234,7 +234,7 @@
             return Ok(());
         }
         Err(BenchError::TooLarge {
-            arguments: self.words().join(" "),
+            arguments: self.command_line().join(" "),
             needed_mb,
             allowed_mb,
         })
--- a/benches/state/src/connections.rs
+++ b/benches/state/src/connections.rs
@@ -227,14 +227,14 @@
         for open in &mut self.open {
             open.change(now, 0);
         }
-        let span = (now - self.measured_since).max(1) as f64;
+        let duration = (now - self.measured_since).max(1) as f64;
         let workers = self.open.len().max(1) as f64;
         let integral: f64 = self.open.iter().map(|open| open.integral).sum();
         let opened = self.opened - self.opened_before;
         ConnectionUsage {
-            mean: integral / span / workers,
+            mean: integral / duration / workers,
             max: self.open.iter().map(|open| open.max).max().unwrap_or(0),
-            opened_per_s: opened as f64 / (span / 1e6) / workers,
+            opened_per_s: opened as f64 / (duration / 1e6) / workers,
         }
     }
 }
--- a/benches/state/src/dispatch_workload.rs
+++ b/benches/state/src/dispatch_workload.rs
@@ -1,5 +1,5 @@
-//! The workload of one front end in virtual time: calls of functions by popularity, workers that answer, and other front ends
-//! that keep popular functions loaded. Drives either the decision module alone or the whole dispatcher, and times each step
+//! The workload of one front end in virtual time: calls of functions by popularity, answers of workers, and other front
+//! ends that keep popular functions loaded. Drives either the decision module alone or the whole dispatcher, and times each step
 //! by the wall clock.
 //!
 //! These workers have neither queues nor limits; see [`crate::workers`] for a simulation with both.
--- a/benches/state/src/dispatch_workload/cold_starts.rs
+++ b/benches/state/src/dispatch_workload/cold_starts.rs
@@ -51,7 +51,8 @@
         self.load_request_step.add(took);
     }
 
-    /// Records the step that sent the call. Ignores a call sent without a load, to an instance that another front end loaded.
+    /// Records the step that sent the call. A call sent without a load, to an instance that another front end loaded, is
+    /// not a cold start and is ignored.
     pub(super) fn record_send(&mut self, pending: &PendingColdStart, now: Micros, took: Duration) {
         let Some(loaded) = pending.loaded else {
             return;
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -13,8 +13,8 @@
 pub const CLASSES: usize = 8;
 /// Arrival rate of calls at one front end.
 pub const CALLS_PER_SECOND: f64 = 100.0;
-/// Exponent of the Zipf distribution of calls over functions. At 1,500,000 calls per second over 340,000 functions, more than
-/// half of the functions are called less than once a minute by the whole fleet.
+/// Exponent of the Zipf distribution of calls over functions. At 1,500,000 calls per second over 340,000 functions, more
+/// than half of the functions are called less than once a minute by the whole fleet.
 pub const ZIPF_EXPONENT: f64 = 1.5;
 /// Warm instances per worker, each of a different function.
 pub const INSTANCES_PER_WORKER: usize = 100;
--- a/benches/state/src/measure.rs
+++ b/benches/state/src/measure.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Rounds a figure to [`SIGNIFICANT_DIGITS`]; returns 0 if it is not finite.
+/// Rounds a figure to four significant digits; returns 0 if it is not finite.
 pub fn rounded(figure: f64) -> f64 {
     if figure == 0.0 || !figure.is_finite() {
         return 0.0;
--- a/benches/state/src/process.rs
+++ b/benches/state/src/process.rs
@@ -7,8 +7,8 @@
 use std::io::Write;
 use std::process::{Command, ExitCode, Output, Stdio};
 
-/// Entry point of the program. Prints errors on one line. Exit codes: 0 success, 1 a measurement failed, 2 the arguments were
-/// rejected.
+/// Entry point of the program. Prints errors on one line. Exit codes: 0 success, 1 a measurement failed, 2 the arguments
+/// were rejected.
 pub fn main(args: &Args) -> ExitCode {
     match run(args) {
         Ok(true) => ExitCode::SUCCESS,
@@ -26,7 +26,7 @@
         let mut output = measure_in_process(args)?;
         let mut command = vec![program_name()];
         command.extend(subcommand_words());
-        command.extend(args.words());
+        command.extend(args.command_line());
         output.insert("command", json!(command.join(" ")));
         print_line(&output.json(true));
         return Ok(true);
@@ -56,7 +56,7 @@
 fn failed_run(args: &Args, error: &BenchError) -> Value {
     let mut output = OutputRecord::default();
     output.insert("tool", json!("state"));
-    output.insert("command", json!(args.words().join(" ")));
+    output.insert("command", json!(args.command_line().join(" ")));
     output.insert("seed", json!(args.seed));
     output.add_note(error.to_string());
     output.json(false)
@@ -68,7 +68,7 @@
     let failed = |error| BenchError::failed("this program", error);
     let program = std::env::current_exe().map_err(failed)?;
     let mut words = subcommand_words();
-    words.extend(args.words());
+    words.extend(args.command_line());
     let output = Command::new(program)
         .args(&words)
         .arg("--here")
--- a/benches/state/src/scopes/subscription_table.rs
+++ b/benches/state/src/scopes/subscription_table.rs
@@ -1,5 +1,5 @@
-//! The leader's subscription table: memory, and the time to process a request, to process the full lists sent to a new leader,
-//! and to find the subscribers that a change waits for.
+//! The leader's subscription table: memory, and the time to process a request, to process the full lists sent to a new
+//! leader, and to find the subscribers that a change waits for.
 
 use crate::inputs::{self, FunctionPopularity};
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
--- a/benches/state/src/workers/measurement.rs
+++ b/benches/state/src/workers/measurement.rs
@@ -16,15 +16,16 @@
 /// One in this many workers becomes silent.
 const WORKERS_PER_SILENT: usize = 20;
 
-fn seconds(span: Micros) -> f64 {
-    span as f64 / 1e6
+fn seconds(duration: Micros) -> f64 {
+    duration as f64 / 1e6
 }
 
 fn share(part: u64, total: u64) -> f64 {
     part as f64 / total.max(1) as f64
 }
 
-/// Measures connections, control requests and cold starts in a steady fleet, then probes and unserved calls with silent workers.
+/// Measures connections, control requests and cold starts in a steady fleet, then probes and unserved calls with silent
+/// workers.
 pub(crate) fn worker_load(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let mut simulation = WorkerSimulation::new(args)?;
     simulation.run(WARM_UP);
@@ -69,7 +70,7 @@
 fn add_rate(
     name: &str,
     counts: impl Iterator<Item = u64> + Clone,
-    span: Micros,
+    duration: Micros,
     output: &mut OutputRecord,
 ) {
     let workers = counts.clone().count().max(1) as f64;
@@ -77,7 +78,7 @@
     let mean = counts.sum::<u64>() as f64 / workers;
     output.insert(
         name,
-        json!({"mean": rounded(mean / seconds(span)), "most": rounded(max / seconds(span))}),
+        json!({"mean": rounded(mean / seconds(duration)), "most": rounded(max / seconds(duration))}),
     );
 }
 
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -16,10 +16,10 @@
     Command::new(env!("CARGO_BIN_EXE_tansy-bench-state"))
         .args(words)
         .output()
-        .expect("the program")
+        .expect("the program runs")
 }
 
-fn measured(what: &str, more: &[&str]) -> Value {
+fn measured(what: &str, extra_arguments: &[&str]) -> Value {
     let small = [
         "--what",
         what,
@@ -32,27 +32,29 @@
         "--changes",
         "3",
     ];
-    let out = run(&[&small[..], more].concat());
+    let out = run(&[&small[..], extra_arguments].concat());
     let text = String::from_utf8_lossy(&out.stdout);
     let errors = String::from_utf8_lossy(&out.stderr);
     assert!(out.status.success(), "{what}: {errors}");
-    serde_json::from_str(text.lines().last().expect("a line")).expect("JSON")
+    serde_json::from_str(text.lines().last().expect("an output line")).expect("valid JSON")
 }
 
 fn count(line: &Value, field: &str) -> u64 {
     line[field]
         .as_u64()
-        .unwrap_or_else(|| panic!("no count {field} in {line}"))
+        .unwrap_or_else(|| panic!("{field} is not a count in {line}"))
 }
 
 fn line(args: &Args) -> Value {
-    measure_in_process(args).expect("a measurement").json(true)
+    measure_in_process(args)
+        .expect("the measurement succeeds")
+        .json(true)
 }
 
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
+    reason = "a table of measurements and their fields"
 )]
 fn each_run_prints_one_line_with_its_fields() {
     let all: [(&str, &[&str]); 19] = [
@@ -185,7 +187,7 @@
         for field in fields {
             let figure = line[field].is_number()
                 || line[field]["p50"].is_number() && line[field]["p99"].is_number();
-            assert!(figure, "{what} without {field}: {line}");
+            assert!(figure, "{what} has no figure {field}: {line}");
         }
     }
 }
@@ -251,13 +253,13 @@
     let version = inputs::version_fields(&inputs::function_names(30, 3));
     let text = agreement::to_text(&version);
     assert_eq!(
-        agreement::parse_version("bench.cue", &text).expect("right settings"),
+        agreement::parse_version("bench.cue", &text).expect("the settings are valid"),
         version
     );
-    let (filled, strange) = agreement::with_defaults(&version).expect("right settings");
-    assert!(strange.is_empty());
-    let settings =
-        agreement::effective_settings(&Default::default(), &filled).expect("right settings");
+    let (completed, rejected) = agreement::with_defaults(&version).expect("the settings are valid");
+    assert!(rejected.is_empty());
+    let settings = agreement::effective_settings(&Default::default(), &completed)
+        .expect("the settings are valid");
     assert_eq!(settings.dispatch.functions.len(), 30);
 }
 
@@ -292,7 +294,9 @@
             fields,
             reason: "bench".into(),
         };
-        let entry = postcard::to_stdvec(&entry).expect("an encoding").len() as u64;
+        let entry = postcard::to_stdvec(&entry)
+            .expect("the entry is encodable")
+            .len() as u64;
         assert!(
             (entry..entry + 100).contains(&count(&log, "entry_bytes")),
             "{entry}: {log}"
@@ -372,7 +376,7 @@
         "--instances",
         "4000000",
     ];
-    let refusals: [(&[&str], &str); 7] = [
+    let rejections: [(&[&str], &str); 7] = [
         (&large, "half of this machine's memory"),
         (&["--what", "module", "--functions", "0"], "--functions"),
         (&["--what", "view", "--front-ends", "many"], "--front-ends"),
@@ -381,12 +385,12 @@
         (&[], "--what"),
         (&["--all", "--seed", "2"], "--all"),
     ];
-    for (words, wanted) in refusals {
+    for (words, expected) in rejections {
         let out = run(words);
         let errors = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2), "{words:?}: {errors}");
         assert!(out.stdout.is_empty(), "{words:?}");
         assert_eq!(errors.lines().count(), 1, "{words:?}: {errors}");
-        assert!(errors.contains(wanted), "{words:?}: {errors}");
+        assert!(errors.contains(expected), "{words:?}: {errors}");
     }
 }
--- a/benches/state/tests/workers.rs
+++ b/benches/state/tests/workers.rs
@@ -163,7 +163,7 @@
         let reference = &pools.reference;
         assert!(
             reference.opened > 10 && (idle_timeout.is_none() || reference.closed > 10),
-            "{policy:?}: nothing happened"
+            "{policy:?}: too little activity"
         );
     }
 }
@@ -177,7 +177,8 @@
     let mut pool = ConnectionPool::new(2, policy);
     let early = pool.begin_stream(0, 0, 0).connection;
     pool.start_measurement(50);
-    // The first connection is open from the start of the measurement at 50 until 300, a second one from 350 to the end at 450.
+    // The first connection is open from the start of the measurement at 50 until 300, the second from 350 to the end at
+    // 450.
     pool.end_stream(200, 0, 0, early);
     assert!(pool.begin_stream(350, 1, 1).is_new);
     let expected = ConnectionUsage {
@@ -225,7 +226,8 @@
 #[test]
 fn each_control_request_and_attempt_is_counted_once_at_one_worker() {
     for (miss, silent) in [(false, false), (true, false), (false, true), (true, true)] {
-        let mut simulation = WorkerSimulation::new(&args(12, miss, 3)).expect("a fleet");
+        let mut simulation =
+            WorkerSimulation::new(&args(12, miss, 3)).expect("the simulation starts");
         simulation.run(3 * SECOND);
         if silent {
             simulation.silence(3);
@@ -268,7 +270,7 @@
         let (attempts, loads) = (received.attempts, received.loads);
         assert!(
             attempts > 1_000 && loads > 100,
-            "{attempts} attempts and {loads} loads: nothing happened"
+            "{attempts} attempts and {loads} loads: too little activity"
         );
         assert!(
             !silent || received.control_requests[ControlRequestKind::Probe as usize] > 0,
@@ -282,7 +284,7 @@
 
 #[test]
 fn kept_connections_are_at_most_one_per_front_end_and_worker() {
-    let mut simulation = WorkerSimulation::new(&args(9, false, 2)).expect("a fleet");
+    let mut simulation = WorkerSimulation::new(&args(9, false, 2)).expect("the simulation starts");
     simulation.run(20 * SECOND);
     let workers = simulation.worker_counters().len();
     let keep_all = &simulation.connections()[0];
@@ -299,7 +301,7 @@
 fn a_seed_determines_the_load_on_workers() {
     let line = |seed| {
         let mut line = measure_in_process(&args(8, false, seed))
-            .expect("a measurement")
+            .expect("the measurement succeeds")
             .json(true);
         // Wall times differ between runs.
         line.as_object_mut().expect("an object").remove("decide_us");
