--- a/benches/state/src/dispatch_costs.rs
+++ b/benches/state/src/dispatch_costs.rs
@@ -1,9 +1,9 @@
-//! Costs of the decision module, of the dispatcher around it, and of cold starts.
+//! Benchmarks of the decision module, of the dispatcher that contains it, and of cold starts.
 
 use crate::dispatch_workload::{
     arrival, DispatcherAdapter, RouterAdapter, SystemUnderTest, Workload,
 };
-use crate::inputs::{self, FunctionPopularity, LOAD, WARM};
+use crate::inputs::{self, FunctionPopularity, INSTANCES_PER_WORKER, LOAD_TIME};
 use crate::measure::{ms, timed, MemoryGrowth, OutputRecord};
 use crate::{Args, BenchError};
 use tansy_dispatch::{CallId, Dispatcher, Input};
@@ -12,32 +12,32 @@
     SECOND,
 };
 
-/// Virtual time until a workload is steady.
+/// Virtual time until the workload is steady.
 const WARM_UP: Micros = 45 * SECOND;
-/// Virtual time that is measured then.
-const MEASURED: Micros = 15 * SECOND;
-/// Virtual time that is measured right after all functions were called, which are remembered for 40 s, and after all
-/// instances were reported, which are believed in for 9 s.
-const MEASURED_AFTER_FILL: Micros = 7 * SECOND;
-/// Before the workload starts, this many events come in each [`BATCH_INTERVAL`].
+/// Virtual time for which the steady workload is measured.
+const MEASURED_PERIOD: Micros = 15 * SECOND;
+/// Virtual time for which a filled module is measured: less than the 40 s for which it remembers a called function, and the
+/// 9 s for which it assumes that a reported instance is still loaded.
+const MEASURED_PERIOD_AFTER_FILL: Micros = 7 * SECOND;
+/// Events per [`BATCH_INTERVAL`] before the workload starts.
 const BATCH: usize = 20_000;
 const BATCH_INTERVAL: Micros = 20_000;
-/// Calls of functions that no worker has, by the second, at one front end.
-const COLD_CALLS_S: f64 = 1.0;
-/// The number of the first call before the workload; the workload itself counts from 1.
+/// Rate of calls at one front end to functions that no worker has loaded.
+const COLD_CALLS_PER_SECOND: f64 = 1.0;
+/// Number of the first call before the workload, which itself counts calls from 1.
 const FIRST_CALL: u64 = u64::MAX / 2;
 
 fn worker_entry(number: usize) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(number as u64),
-        cell: inputs::cell(number),
+        cell: inputs::worker_cell(number),
         relative_size: 1.0,
         ..WorkerEntry::default()
     }
 }
 
 fn worker_count(args: &Args) -> usize {
-    args.instances.div_ceil(WARM).max(1)
+    args.instances.div_ceil(INSTANCES_PER_WORKER).max(1)
 }
 
 fn add_memory(growth: &MemoryGrowth, output: &mut OutputRecord) {
@@ -55,14 +55,14 @@
     output.count("unserved", workload.unserved as usize);
 }
 
-/// Fills the decision module in batches, between which its timers fire.
+/// Fills the decision module in batches; its timers fire between batches.
 struct RouterFill {
     system: RouterAdapter,
     now: Micros,
 }
 
 impl RouterFill {
-    /// Before the n-th event.
+    /// Advances the clock before every [`BATCH`]th event.
     fn pass_time(&mut self, events: usize) {
         if events.is_multiple_of(BATCH) {
             self.now += BATCH_INTERVAL;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Each function is called once, by a client that leaves.
+    /// Calls each function once; the client cancels the call.
     fn call_functions(&mut self, functions: usize) {
         for function in 0..functions {
             self.pass_time(function);
@@ -82,17 +82,20 @@
         }
     }
 
-    /// Each instance is reported by a load. Those of a worker are of different functions where there are as many.
+    /// Reports each instance by a completed load. A worker's instances are of different functions if there are enough.
     fn load_instances(&mut self, instances: usize, functions: usize) {
         for instance in 0..instances {
             self.pass_time(instance);
-            let (worker, nth) = (instance / WARM, instance % WARM);
-            let function = (worker + nth * (functions / WARM).max(1)) % functions;
+            let (worker, nth) = (
+                instance / INSTANCES_PER_WORKER,
+                instance % INSTANCES_PER_WORKER,
+            );
+            let function = (worker + nth * (functions / INSTANCES_PER_WORKER).max(1)) % functions;
             let loaded = Event::LoadEnded {
                 worker: WorkerId(worker as u64),
                 function: FunctionId(function as u64),
                 outcome: Outcome::Served,
-                latency: LOAD,
+                latency: LOAD_TIME,
                 instances: 1,
             };
             self.system.apply(self.now, loaded);
@@ -100,16 +103,16 @@
     }
 }
 
-/// The decision module, which knows every function by a call and every instance by a load.
+/// Measures the decision module after a call of every function and a load of every instance.
 pub fn decision_module(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let popularity = FunctionPopularity::new(args.functions, args.seed);
     let workers = worker_count(args);
     output.count("workers", workers);
-    output.figure("seldom", inputs::seldom(&popularity.shares()));
+    output.figure("seldom", inputs::rarely_called_share(&popularity.shares()));
     let mut rng = fastrand::Rng::with_seed(args.seed);
     let growth = MemoryGrowth::begin();
     let router = Router::new(inputs::settings(args.front_ends), args.seed, Time(0))
-        .map_err(|e| BenchError::failed("the module's settings", e))?;
+        .map_err(|e| BenchError::failed("the decision module's settings", e))?;
     let mut fill = RouterFill {
         system: RouterAdapter::new(router),
         now: 0,
@@ -128,7 +131,7 @@
     workload.start_at(fill.now);
     workload.run(SECOND);
     workload.start_measurement();
-    workload.run(MEASURED_AFTER_FILL);
+    workload.run(MEASURED_PERIOD_AFTER_FILL);
     add_memory(&growth, output);
     add_steps(&workload, output);
     Ok(())
@@ -148,17 +151,17 @@
 fn worker_list(workers: usize) -> Input {
     Input::Workers {
         full: true,
-        workers: (0..workers).map(inputs::listed).collect(),
+        workers: (0..workers).map(inputs::worker_record).collect(),
     }
 }
 
-/// Each function is described by a call, whose client leaves; when the last of them has come.
+/// Describes each function by a call that the client cancels; returns the virtual time after the last one.
 fn call_unlisted(system: &mut DispatcherAdapter) -> Micros {
     let function_names = system.function_names().to_vec();
     for (function, name) in function_names.iter().enumerate() {
         let now = (function / BATCH) as Micros * BATCH_INTERVAL;
         let number = FIRST_CALL + function as u64;
-        let call = inputs::call(number, name, 0, Some(inputs::shape(1)));
+        let call = inputs::call(number, name, 0, Some(inputs::function_shape(1)));
         system.apply(now, Input::Call(call));
         let call = CallId(number);
         system.apply(now, Input::ClientLeft { call });
@@ -166,13 +169,13 @@
     (function_names.len() / BATCH + 1) as Micros * BATCH_INTERVAL
 }
 
-/// The dispatcher with the decision module in it, under a steady workload.
+/// Measures the dispatcher, including the decision module, under a steady workload.
 pub fn dispatcher(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let function_names = inputs::names(args.functions, args.seed);
+    let function_names = inputs::function_names(args.functions, args.seed);
     let popularity = FunctionPopularity::new(args.functions, args.seed);
     let workers = worker_count(args);
     output.count("workers", workers);
-    output.figure("seldom", inputs::seldom(&popularity.shares()));
+    output.figure("seldom", inputs::rarely_called_share(&popularity.shares()));
     output.count("unlisted", usize::from(args.unlisted));
     let without_functions = new_dispatcher(args, &[], output)?;
     let mut system = DispatcherAdapter::new(without_functions, function_names, args.unlisted);
@@ -190,11 +193,11 @@
         workload.start_at(filled);
         workload.run(SECOND);
         workload.start_measurement();
-        workload.run(3 * MEASURED_AFTER_FILL);
+        workload.run(3 * MEASURED_PERIOD_AFTER_FILL);
     } else {
         workload.run(WARM_UP);
         workload.start_measurement();
-        workload.run(MEASURED);
+        workload.run(MEASURED_PERIOD);
     }
     add_memory(&growth, output);
     let (functions, ..) = workload.system.dispatcher().name_counts();
@@ -203,21 +206,21 @@
     Ok(())
 }
 
-/// The share of a cold start that is spent in the front end.
+/// Measures the time that cold starts spend in the front end.
 pub fn cold_start(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let function_names = inputs::names(args.functions, args.seed);
+    let function_names = inputs::function_names(args.functions, args.seed);
     let popularity = FunctionPopularity::new(args.functions, args.seed);
     let workers = worker_count(args);
     output.count("workers", workers);
-    output.figure("cold_calls_s", COLD_CALLS_S);
-    output.figure("load_ms", LOAD as f64 / 1e3);
+    output.figure("cold_calls_s", COLD_CALLS_PER_SECOND);
+    output.figure("load_ms", LOAD_TIME as f64 / 1e3);
     let dispatcher = new_dispatcher(args, &function_names, output)?;
-    // Calls describe the functions that nobody has called yet.
+    // Functions that have not been called before are described by their calls.
     let mut system = DispatcherAdapter::new(dispatcher, function_names, true);
     system.apply(0, worker_list(workers));
     let mut workload = Workload::new(system, popularity, args.front_ends, args.seed);
     workload.run(WARM_UP / 3);
-    workload.start_cold_calls(COLD_CALLS_S, |system, number| {
+    workload.start_cold_calls(COLD_CALLS_PER_SECOND, |system, number| {
         system.add_function(format!("cold-{number:06x}"))
     });
     workload.run(5 * SECOND);
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -1,11 +1,11 @@
-//! Small sizes: the fields of a line, that its bytes are those of the real encodings, the largest message, and rejected
-//! arguments. No assertion rests on a time.
+//! Runs each measurement at a small size: output fields, encoded sizes, the largest message and rejected arguments. No
+//! assertion depends on a duration.
 
 use serde_json::Value;
 use std::process::{Command, Output};
 use tansy_agreement::log::{LogEntry, Version};
 use tansy_bench_state::messages::{
-    encode_grant, largest_holding, max_functions_of_grant, read_message, state, ReadError,
+    encode_grant, fleet_state, largest_satisfying, max_functions_of_grant, read_message, ReadError,
 };
 use tansy_bench_state::{inputs, measure_in_process, Args, Measurement};
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
@@ -16,10 +16,10 @@
     Command::new(env!("CARGO_BIN_EXE_tansy-bench-state"))
         .args(words)
         .output()
-        .expect("the program")
+        .expect("the program runs")
 }
 
-fn measured(what: &str, more: &[&str]) -> Value {
+fn measured(what: &str, extra_arguments: &[&str]) -> Value {
     let small = [
         "--what",
         what,
@@ -32,27 +32,29 @@
         "--changes",
         "3",
     ];
-    let out = run(&[&small[..], more].concat());
+    let out = run(&[&small[..], extra_arguments].concat());
     let text = String::from_utf8_lossy(&out.stdout);
     let errors = String::from_utf8_lossy(&out.stderr);
     assert!(out.status.success(), "{what}: {errors}");
-    serde_json::from_str(text.lines().last().expect("a line")).expect("JSON")
+    serde_json::from_str(text.lines().last().expect("an output line")).expect("valid JSON")
 }
 
 fn count(line: &Value, field: &str) -> u64 {
     line[field]
         .as_u64()
-        .unwrap_or_else(|| panic!("no count {field} in {line}"))
+        .unwrap_or_else(|| panic!("{field} is not a count in {line}"))
 }
 
 fn line(args: &Args) -> Value {
-    measure_in_process(args).expect("a measurement").json(true)
+    measure_in_process(args)
+        .expect("the measurement succeeds")
+        .json(true)
 }
 
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
+    reason = "a table of measurements and their fields"
 )]
 fn each_run_prints_one_line_with_its_fields() {
     let all: [(&str, &[&str]); 19] = [
@@ -185,7 +187,7 @@
         for field in fields {
             let figure = line[field].is_number()
                 || line[field]["p50"].is_number() && line[field]["p99"].is_number();
-            assert!(figure, "{what} without {field}: {line}");
+            assert!(figure, "{what} has no figure {field}: {line}");
         }
     }
 }
@@ -199,7 +201,7 @@
     assert_eq!(count(&measured("leaving", &[]), "remembered"), 300);
     let log = measured("log", &[]);
     assert_eq!((count(&log, "versions"), count(&log, "changes")), (4, 3));
-    // The settings list the functions, or calls describe them: both ways all are known.
+    // All functions are known, whether the settings list them or calls describe them.
     for words in [&[][..], &["--unlisted"]] {
         let ledger = measured("ledger", words);
         assert_eq!(count(&ledger, "functions_held"), 50, "{ledger}");
@@ -235,29 +237,29 @@
 }
 
 #[test]
-fn a_seed_says_what_is_called_and_what_is_named() {
+fn the_seed_determines_calls_and_function_names() {
     let counts = |seed: &str| {
         let line = measured("ledger", &["--seed", seed]);
         ["calls", "unserved", "functions_held"].map(|f| count(&line, f))
     };
     assert_eq!(counts("1"), counts("1"));
     assert_ne!(counts("1"), counts("2"));
-    assert_eq!(inputs::names(9, 1), inputs::names(9, 1));
-    assert_ne!(inputs::names(9, 1), inputs::names(9, 2));
+    assert_eq!(inputs::function_names(9, 1), inputs::function_names(9, 1));
+    assert_ne!(inputs::function_names(9, 1), inputs::function_names(9, 2));
 }
 
 #[test]
 fn the_version_is_what_a_settings_file_gives() {
-    let version = inputs::version(&inputs::names(30, 3));
+    let version = inputs::version_fields(&inputs::function_names(30, 3));
     let text = agreement::to_text(&version);
     assert_eq!(
-        agreement::parse_version("bench.cue", &text).expect("right settings"),
+        agreement::parse_version("bench.cue", &text).expect("the settings are valid"),
         version
     );
-    let (filled, strange) = agreement::with_defaults(&version).expect("right settings");
-    assert!(strange.is_empty());
-    let settings =
-        agreement::effective_settings(&Default::default(), &filled).expect("right settings");
+    let (completed, rejected) = agreement::with_defaults(&version).expect("the settings are valid");
+    assert!(rejected.is_empty());
+    let settings = agreement::effective_settings(&Default::default(), &completed)
+        .expect("the settings are valid");
     assert_eq!(settings.dispatch.functions.len(), 30);
 }
 
@@ -265,7 +267,7 @@
 fn bytes_are_those_of_the_real_encodings_and_grow_with_functions() {
     let mut before = [0; 3];
     for functions in [50, 100, 200] {
-        let names = inputs::names(functions, 2);
+        let names = inputs::function_names(functions, 2);
         let args = |measurement| Args {
             functions,
             seed: 2,
@@ -278,21 +280,23 @@
         );
         assert_eq!(
             count(&letter, "letter_bytes"),
-            encode_grant(state(&names, true)).len() as u64
+            encode_grant(fleet_state(&names, true)).len() as u64
         );
         assert_eq!(
             count(&letter, "force_bytes"),
-            encode_grant(state(&names, false)).len() as u64
+            encode_grant(fleet_state(&names, false)).len() as u64
         );
-        // A record holds the proposal, and little else.
-        let fields = inputs::changed(&inputs::version(&names), &names[0], 2);
+        // The record contains the proposal and at most 100 bytes more.
+        let fields = inputs::with_lanes(&inputs::version_fields(&names), &names[0], 2);
         let entry = LogEntry::Propose {
             id: 1,
             base: Version(1),
             fields,
             reason: "bench".into(),
         };
-        let entry = postcard::to_stdvec(&entry).expect("an encoding").len() as u64;
+        let entry = postcard::to_stdvec(&entry)
+            .expect("the entry is encodable")
+            .len() as u64;
         assert!(
             (entry..entry + 100).contains(&count(&log, "entry_bytes")),
             "{entry}: {log}"
@@ -332,14 +336,15 @@
         count(&line, "log_bytes")
     };
     let (few, many) = (bytes(5_000), bytes(10_000));
-    // A name and four fields each; the history of changes is as long in both.
+    // Each function adds a name and four fields; the change history has the same length in both.
     assert!((300_000..450_000).contains(&(many - few)), "{few} {many}");
 }
 
 #[test]
-fn no_front_end_can_read_a_grant_of_one_function_more_than_the_most() {
+fn a_grant_above_the_maximum_number_of_functions_cannot_be_read() {
     let most = max_functions_of_grant(1, true);
-    let message = |functions| encode_grant(state(&inputs::names(functions, 1), true));
+    let message =
+        |functions| encode_grant(fleet_state(&inputs::function_names(functions, 1), true));
     let (under, over) = (message(most), message(most + 1));
     assert!(
         under.len() <= MAX_MESSAGE_BYTES && over.len() > MAX_MESSAGE_BYTES,
@@ -355,9 +360,9 @@
 }
 
 #[test]
-fn the_largest_number_is_found_from_either_side() {
+fn the_largest_satisfying_number_is_found() {
     for limit in [0, 1, 2, 3, 7, 8, 9, 1000] {
-        assert_eq!(largest_holding(|number| number <= limit), limit);
+        assert_eq!(largest_satisfying(|number| number <= limit), limit);
     }
 }
 
@@ -371,7 +376,7 @@
         "--instances",
         "4000000",
     ];
-    let refusals: [(&[&str], &str); 7] = [
+    let rejections: [(&[&str], &str); 7] = [
         (&large, "half of this machine's memory"),
         (&["--what", "module", "--functions", "0"], "--functions"),
         (&["--what", "view", "--front-ends", "many"], "--front-ends"),
@@ -380,12 +385,12 @@
         (&[], "--what"),
         (&["--all", "--seed", "2"], "--all"),
     ];
-    for (words, wanted) in refusals {
+    for (words, expected) in rejections {
         let out = run(words);
         let errors = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2), "{words:?}: {errors}");
         assert!(out.stdout.is_empty(), "{words:?}");
         assert_eq!(errors.lines().count(), 1, "{words:?}: {errors}");
-        assert!(errors.contains(wanted), "{words:?}: {errors}");
+        assert!(errors.contains(expected), "{words:?}: {errors}");
     }
 }
