--- a/simulator-adapter/src/front_end/worker_names.rs
+++ b/simulator-adapter/src/front_end/worker_names.rs
@@ -5,19 +5,21 @@
 use std::hash::Hasher;
 use tansyrouter::{ListKind, WorkerEntry, WorkerId, WorkerState};
 
-/// The names of the workers that lists have named and that have not left.
+/// The names of listed workers, including those that have left until [`WorkerNames::remove_departed`] is called.
 #[derive(Default)]
 pub struct WorkerNames {
     ids: BTreeMap<String, WorkerId>,
     names: BTreeMap<WorkerId, String>,
+    /// Workers that have left, but whose names the commands of the current batch may still need.
     departed: Vec<WorkerId>,
 }
 
 impl WorkerNames {
-    /// Returns the identifier of a worker: a hash of its name, which is the same at every front end, or the next free
-    /// number if another worker has that hash.
+    /// Returns the recorded identifier of a worker. If there is none, returns a hash of the name, or the next free number
+    /// if a recorded worker has that hash. The hash is the same at every front end.
     ///
-    /// An outcome may name a worker that has left. It gets an identifier but is not recorded.
+    /// The end of an attempt, probe or load may name a worker that has left. Such a worker gets an identifier, but its
+    /// name is not recorded.
     pub fn id(&self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Removes the workers that have left. Called when all commands that may name them have been written.
+    /// Removes the workers that have left. Called after the commands of a batch are written, since they may name these
+    /// workers.
     pub fn remove_departed(&mut self) {
         for id in self.departed.drain(..) {
             if let Some(name) = self.names.remove(&id) {
