--- a/decide/dispatch/src/pending_lookups.rs
+++ b/decide/dispatch/src/pending_lookups.rs
@@ -30,7 +30,7 @@
 /// How the wait of a call ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WaitOutcome {
-    /// The call proceeds.
+    /// The lookup ended in time and does not refuse the call.
     Release {
         /// The call.
         call: Call,
@@ -49,7 +49,7 @@
 /// The effect of a lookup on the calls that wait for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// The calls proceed.
+    /// The calls are released, because the function is known or known not to exist.
     Proceed,
     /// The calls are refused.
     Refuse,
--- a/decide/dispatch/src/request_table/lookups.rs
+++ b/decide/dispatch/src/request_table/lookups.rs
@@ -1,4 +1,5 @@
-//! Calls of functions that the settings do not name. They arrive with the result of a lookup, and wait while it is pending.
+//! Calls of functions that the settings do not name. Each call arrives with the state of the function's lookup, and waits
+//! if the lookup is pending.
 
 use super::entries::ResolvedFunction;
 use super::Dispatcher;
@@ -19,7 +20,8 @@
         self.pending_lookups.functions()
     }
 
-    /// The number of calls that wait for a lookup. They count as accepted only once their wait ends.
+    /// The number of calls that wait for a lookup. They are not counted as accepted while they wait; a call that is
+    /// answered with [`Answer::UnknownFunction`] never is.
     pub fn pending_calls(&self) -> usize {
         self.pending_lookups.len()
     }
@@ -48,9 +50,9 @@
     fn await_lookup(&mut self, call: Call, commands: &mut Vec<Command>) {
         let open = self.calls.len() + self.pending_lookups.len();
         if self.shutting_down {
-            self.refuse_waiting(call.id, 0, commands);
+            self.refuse_without_class(call.id, 0, commands);
         } else if open >= self.config.settings.max_open_requests {
-            self.refuse_waiting(call.id, self.conflict_retry_after(), commands);
+            self.refuse_without_class(call.id, self.conflict_retry_after(), commands);
         } else {
             let max_wait = self.lookup_wait_limit(&call);
             let mut outcomes = Vec::new();
@@ -60,6 +62,7 @@
         }
     }
 
+    /// Ends the wait of a function's calls with the result of its lookup. Does nothing if the lookup is still pending.
     pub(super) fn on_function_resolved(
         &mut self,
         function: &str,
@@ -106,9 +109,9 @@
                     self.release(call, waited, lookup, commands)
                 }
                 WaitOutcome::Refuse { call, reason } => match reason {
-                    WaitRefusal::ShuttingDown => self.refuse_waiting(call, 0, commands),
+                    WaitRefusal::ShuttingDown => self.refuse_without_class(call, 0, commands),
                     WaitRefusal::Full => {
-                        self.refuse_waiting(call, self.conflict_retry_after(), commands)
+                        self.refuse_without_class(call, self.conflict_retry_after(), commands)
                     }
                     WaitRefusal::TimedOut | WaitRefusal::LookupRefused => {
                         self.refuse_conflicting_lookup(call, commands)
@@ -163,14 +166,16 @@
         self.refuse_unadmitted(id, self.conflict_retry_after(), commands);
     }
 
-    /// Retry advice while settings are not known or conflict, limited to the longest advice that clients follow.
+    /// Retry advice for calls that are refused because settings conflict or were not known in time, or because too many
+    /// calls are open or waiting. It is limited to the longest advice that clients follow.
     pub(super) fn conflict_retry_after(&self) -> Micros {
         self.conflicting
             .retry_after
             .min(self.config.settings.max_retry_after)
     }
 
-    /// Answers a call of a function that does not exist; refuses it if a version not known here may define the function.
+    /// Answers a call of a function that does not exist. If a version of the settings that this front end does not know
+    /// may define the function, the call is refused instead.
     pub(super) fn answer_unknown_function(&mut self, id: CallId, commands: &mut Vec<Command>) {
         if self.conflicting.unknown_names {
             return self.refuse_conflicting(id, commands);
@@ -182,15 +187,20 @@
         });
     }
 
-    /// Refuses a call because the settings of its function are not known here. Its class is not known either, so it is
-    /// counted under [`PENDING_LOOKUP`](crate::class_counters::PENDING_LOOKUP).
+    /// Refuses a call because this front end does not know the settings of its function. Its class is not known either,
+    /// so the call is counted under [`PENDING_LOOKUP`](crate::class_counters::PENDING_LOOKUP).
     fn refuse_conflicting_lookup(&mut self, id: CallId, commands: &mut Vec<Command>) {
         self.counters.conflicting += 1;
-        self.refuse_waiting(id, self.conflict_retry_after(), commands);
+        self.refuse_without_class(id, self.conflict_retry_after(), commands);
     }
 
-    /// Refuses a call whose class is not known, without counting a conflict.
-    fn refuse_waiting(&mut self, id: CallId, retry_after: Micros, commands: &mut Vec<Command>) {
+    /// Refuses a call whose class is not known, whether or not it has waited, without counting a conflict.
+    fn refuse_without_class(
+        &mut self,
+        id: CallId,
+        retry_after: Micros,
+        commands: &mut Vec<Command>,
+    ) {
         self.count_lookup_wait(Err(Some(Answer::Refused { retry_after })), 0);
         self.refuse_unadmitted(id, retry_after, commands);
     }
@@ -202,7 +212,8 @@
         }
     }
 
-    /// Refuses a call that the router has not received.
+    /// Refuses a call that is not admitted, so that the router never receives it. The call is counted as accepted and
+    /// refused.
     fn refuse_unadmitted(&mut self, id: CallId, retry_after: Micros, commands: &mut Vec<Command>) {
         self.counters.accepted += 1;
         self.counters.refused += 1;
