--- a/decide/agreement/src/compatibility/rules.rs
+++ b/decide/agreement/src/compatibility/rules.rs
@@ -6,15 +6,16 @@
 };
 use std::collections::BTreeSet;
 
-/// The rules that a front end acts on: values, and the calls that are rejected until a change is complete.
+/// The rules that a front end acts on: the values of fields, and the calls that it rejects.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EffectiveRules {
     /// The values in use.
     pub fields: Fields,
-    /// Calls that are rejected because versions are in conflict on them.
+    /// Calls that are rejected because a field that affects them differs between versions in use, may have another value
+    /// in the version in force, or is unknown to this program.
     pub rejected: BTreeSet<AffectedCalls>,
-    /// Whether calls are rejected as well whose class, tenant or function has no known field: a version that the front
-    /// end doesn't know may define it.
+    /// Whether calls whose class, tenant or function has no known field are rejected as well, since a version that the
+    /// front end doesn't know may define it.
     pub rejects_unknown_names: bool,
 }
 
@@ -35,6 +36,7 @@
             AffectedCalls::Function(call.function.into()),
         ];
         let unknown = |calls: &AffectedCalls| {
+            // The call states no name of this kind.
             let unnamed = calls.name().is_some_and(str::is_empty);
             !unnamed && !self.defines(calls)
         };
@@ -115,8 +117,8 @@
 }
 
 /// The rules of a front end whose lease has expired while its session is live. Joint fields have their most restrictive
-/// value, since a version that the front end doesn't know may be in force. Strict fields keep their values, since no
-/// change of a strict field proceeds without a member that has a session.
+/// value, since a version that the front end doesn't know may be in force. Strict fields keep their values, since
+/// a change of a strict field proceeds only when every member with a live session has reached it.
 pub fn rules_without_lease(schema: &Schema, known: EffectiveRules) -> EffectiveRules {
     let expired = rules_after_expiry(schema, &known.fields);
     let mut fields = known.fields;
@@ -141,8 +143,10 @@
     }
 }
 
-/// The rules of a front end that can't know which version is in force. Free fields keep their values, joint fields have
-/// their most restrictive value, and calls that any other field affects or that name something unknown are rejected.
+/// The rules of a front end that can't know which version is in force. Free fields keep their values, and joint fields
+/// have their most restrictive value unless their policy is to reject. The calls that any other field affects are
+/// rejected, which are all calls if its path names no class, tenant or function. Calls of unknown classes, tenants and
+/// functions are rejected too.
 pub fn rules_after_expiry(schema: &Schema, known: &Fields) -> EffectiveRules {
     let mut rules = EffectiveRules {
         rejects_unknown_names: true,
@@ -167,13 +171,14 @@
     rules
 }
 
-/// Restricts fields that are missing in the known version but may be set in the version in force: those without a name
-/// in their path, and those of any known name.
+/// Adds the restrictions of fields that the known version may lack but the version in force may set. Missing joint fields
+/// get their most restrictive value; the calls that other fields affect, except free ones, are rejected. Covers patterns
+/// without `*`, and `GROUP.*.FIELD` for the class, tenant and function names in the known version.
 fn restrict_missing_fields(schema: &Schema, known: &Fields, rules: &mut EffectiveRules) {
     let names = defined_names(known);
     for (pattern, compatibility) in schema.patterns() {
         let paths = paths_of_pattern(pattern, &names);
-        // An earlier pattern takes precedence if it matches the path.
+        // Skips paths to which an earlier pattern gives another compatibility.
         for path in paths
             .into_iter()
             .filter(|path| schema.compatibility(path) == compatibility)
@@ -207,7 +212,8 @@
         .collect()
 }
 
-/// The paths with one of these names that a pattern may match.
+/// The paths that a pattern without `*` or of the form `GROUP.*.FIELD` matches, with `*` replaced by each of the group's
+/// names. Other patterns yield none.
 fn paths_of_pattern(pattern: &[String], names: &BTreeSet<(&str, &str)>) -> Vec<String> {
     match pattern {
         [group, any, field] if any == "*" => names
--- a/decide/agreement/src/lease_tree/node.rs
+++ b/decide/agreement/src/lease_tree/node.rs
@@ -8,10 +8,11 @@
 use crate::revision::Revision;
 use std::collections::BTreeMap;
 
-/// Requests are timed to arrive after the granter's lease is renewed, later by the span of a lease divided by this, so
-/// that they don't arrive before the renewal.
+/// The span of a lease divided by this is the delay between the renewal of the granter's own lease and the planned arrival
+/// of a request, so that requests don't arrive before the renewal.
 const RENEWAL_MARGIN_DIVISOR: i64 = 64;
-/// Requests are sent ahead of a renewal by their round trip, but by at most the span of a lease divided by this.
+/// Requests are sent earlier than their planned arrival by the round-trip time, but by at most the span of a lease divided
+/// by this.
 const MAX_LEAD_DIVISOR: i64 = 8;
 /// The number of members whose incarnation is remembered before those without a live lease are dropped.
 const MAX_INCARNATIONS: usize = 4 * MAX_EXTRA_CHILDREN;
@@ -31,8 +32,8 @@
     acknowledged: Revision,
     /// The time between the last answered request and its answer.
     round_trip: Time,
-    /// The members that recently granted this node a lease, with the time of the last grant. Until that lease expires,
-    /// they wait for this node's acknowledgements.
+    /// The members that granted this node a lease within two spans of a lease, with the time of the last grant. Each of
+    /// them waits for this node's acknowledgements until the lease that it granted expires.
     recent_granters: BTreeMap<u64, Time>,
 }
 
@@ -61,8 +62,8 @@
         LeaseNode::with_holder(timing, member, topology, holder, now)
     }
 
-    /// Creates the node of the leader, with the state of its log. It takes no step that changes rules until all leases
-    /// have expired that an earlier process or leader may have granted.
+    /// Creates the node of the leader, with the state of its log. An earlier process or leader may have granted leases;
+    /// until all of these have expired, [`LeaseNode::all_at_least`] and [`LeaseNode::all_have_reached`] return false.
     pub fn leader(
         timing: LeaseTiming,
         member: Member,
@@ -139,8 +140,8 @@
         self.source.remaining(now)
     }
 
-    /// Whether no live lease of the fleet is for an earlier revision. Only the leader can know that, and this holds
-    /// only for the revision that its node has: the log may be ahead of the node.
+    /// Whether this is the leader's node, its state has this revision, and no live lease of the fleet is for an earlier
+    /// one. The log may be ahead of the node; for later revisions of the log the result is false.
     pub fn all_at_least(&self, now: Time, revision: Revision) -> bool {
         matches!(&self.source, LeaseSource::Leader { state, .. } if state.revision() == revision)
             && self.granter.all_at_least(now, revision)
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Handles a message from this member.
+    /// Handles a message that the member `from` sent.
     pub fn on_message(
         &mut self,
         now: Time,
@@ -225,7 +226,7 @@
         self.acknowledge_upward(now, outbox);
     }
 
-    /// Whether no later process of the same name has requested a lease. If so, this process is remembered as the
+    /// Whether no later process of the same name has requested a lease. If there is none, records this process as the
     /// latest.
     fn is_latest_incarnation(&mut self, now: Time, member: Member) -> bool {
         let latest = self.incarnations.get(&member.id).copied().unwrap_or(0);
@@ -316,9 +317,9 @@
         }
     }
 
-    /// Sends a request to the current granter and an acknowledgement to other recent granters. A node that has turned
-    /// to a granter above its parent keeps sending requests to the parent, and returns to the parent when that grants a
-    /// lease.
+    /// Sends a request to the current granter and an acknowledgement to other recent granters. A node whose
+    /// current granter is above its parent also sends requests to the parent, and returns to the parent when the parent
+    /// grants a lease that extends its own.
     fn send_request(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let LeaseSource::Granted(lease) = &mut self.source else {
             return;
@@ -348,7 +349,8 @@
         }
     }
 
-    /// Notifies the granter, which waits for that, once all nodes below have reached a later revision.
+    /// Sends a request, which carries an acknowledgement, once this node and all nodes below have reached a later revision
+    /// than the last acknowledged one. The granter waits for this acknowledgement.
     fn acknowledge_upward(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let known = self.known_state().map_or(Revision(0), Versioned::revision);
         let reached = self
