--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -39,7 +39,7 @@
     pub session_remaining: Time,
 }
 
-/// The state as of the last notifications to the host.
+/// The state that was last reported in [`Command::Notify`].
 #[derive(Clone, Copy, Default)]
 struct Notified {
     versions_revision: Revision,
--- a/decide/fleet-node/src/fleet_node/members.rs
+++ b/decide/fleet-node/src/fleet_node/members.rs
@@ -11,11 +11,11 @@
 use tansy_agreement::scope::StateDelta;
 use tansy_membership::NodeId;
 
-/// Retry intervals between two checks whether to join, while other front ends are known.
-const JOIN_INTERVALS: Time = 10;
+/// Time between two checks whether to join while other front ends are known, as a multiple of [`RETRY_INTERVAL`].
+const JOIN_INTERVAL_FACTOR: Time = 10;
 
 impl FleetNode {
-    /// Replaces the membership protocol with a directory that the host provides and updates.
+    /// Replaces the membership protocol, or the previous directory, with a directory that the caller provides.
     pub fn update_members(&mut self, directory: Arc<Directory>) {
         self.nodes = KnownNodes::Given {
             id: self.config.node.id,
@@ -25,17 +25,18 @@
         self.lease_node.update_topology(topology);
     }
 
-    /// Announces this front end to the voters, which know the others, while no other front end is known.
+    /// Announces this front end to the other voters if no other front end is known, and schedules the next check.
     pub(super) fn join(&mut self, now: Time) {
         let is_alone = self.nodes.count() == 0;
         if is_alone {
             for (id, address) in &self.config.voters {
                 if *id != self.config.node.id {
+                    // The incarnation of the voter's process is not known.
                     self.nodes.join(now, NodeId::new(*id, 0, *address));
                 }
             }
         }
-        self.next_join = now + RETRY_INTERVAL * if is_alone { 1 } else { JOIN_INTERVALS };
+        self.next_join = now + RETRY_INTERVAL * if is_alone { 1 } else { JOIN_INTERVAL_FACTOR };
     }
 
     /// Sends the datagrams of the membership protocol and handles its events.
