--- a/net/inference/src/clients.rs
+++ b/net/inference/src/clients.rs
@@ -24,12 +24,14 @@
 };
 use tansy_net_sockets::within;
 
-/// Calls that may be open on one stream. Further requests of the stream are read once a call ends.
+/// Maximum number of open calls on one stream. At this limit, no further requests are read until a call ends.
 const MAX_CALLS_PER_STREAM: usize = 4096;
 /// Time within which the message of a unary request must arrive.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Path of the method for unary inference.
 const INFER: &str = "/inference.GRPCInferenceService/ModelInfer";
+/// Path of the method for streamed inference.
 const STREAM: &str = "/inference.GRPCInferenceService/ModelStreamInfer";
 
 /// A request handler that serves clients through this driver.
@@ -111,7 +113,7 @@
         let message = messages.poll_unary(&mut first, cx);
         message.map_err(RequestStatus::from)
     };
-    // The message has usually arrived in full with the headers, so that no timer is needed.
+    // Usually the whole message has arrived by the time the headers are handled, and no timer is needed.
     let first_poll = poll_fn(|cx| Poll::Ready(read(cx))).await;
     if let Poll::Ready(message) = first_poll {
         return message;
@@ -142,7 +144,7 @@
         };
         let class_name = stated(&keys.class);
         let tenant_name = stated(&keys.tenant);
-        // An outer `None` means that the call states no name, an inner `None` that the settings do not define the name.
+        // `None` if the call states no name, `Some(None)` if it states a name that the settings do not define.
         let (class, tenant) = self.driver.with_dispatcher(|dispatcher| {
             let class = class_name.as_deref().map(|c| dispatcher.class_index(c));
             let tenant = tenant_name.as_deref().map(|t| dispatcher.tenant_index(t));
@@ -185,6 +187,8 @@
         }
     }
 
+    /// Starts the call of a request at the driver; its responses are added to `responses`. `unary` tells whether the
+    /// client called the unary method; otherwise the request arrived on a stream.
     fn start(
         &self,
         message: &Bytes,
@@ -277,7 +281,7 @@
             }
         })
         .await;
-        // Calls that are still open have lost their client.
+        // The stream ends here, so calls that are still open can no longer be answered.
         self.driver.client_left(responses.abandon());
         if let Some(trailers) = end {
             let _ = send.send_trailers(trailers);
@@ -306,7 +310,8 @@
         Ok(())
     }
 
-    /// Starts the call of one message of a stream. A malformed message is answered in band and does not end the stream.
+    /// Starts the call of one message of a stream. A malformed message is answered with an error message on the stream,
+    /// and does not end the stream.
     fn start_streamed(&self, message: &Bytes, responses: &Rc<ResponseQueue>) {
         match scan::InferRequest::parse(message) {
             Ok(request) => self.start(message, &request, responses, false),
--- a/net/platform/src/endpoint_poller.rs
+++ b/net/platform/src/endpoint_poller.rs
@@ -1,8 +1,8 @@
-//! The coordinator's long poll. A poll is always outstanding; after an error or a timeout the next one is sent soon,
-//! starting from the last event that was fully received.
+//! Long polling of the coordinator. Each poll is followed by another one, which starts from the last event that was fully
+//! received. A short pause separates them if the first ended quickly without events.
 //!
-//! A poll that times out is awaited in parallel with the next one: a coordinator that is slow would take as long to
-//! answer the new poll, and one that has stopped never answers the old one.
+//! A poll that times out is still awaited while the next one is outstanding. With the new poll alone, a slow coordinator
+//! would take as long again to answer; with the old poll alone, a coordinator that has stopped would never answer.
 
 use crate::driver::Driver;
 use std::cell::{Cell, RefCell};
@@ -25,20 +25,21 @@
 const POLL_WAIT: Duration = Duration::from_millis(1000);
 /// Additional time for a reply to arrive before the next poll is sent on another connection.
 const REPLY_MARGIN: Duration = Duration::from_millis(300);
-/// Additional time that a late poll is awaited. An event is assumed to be known 7 s after it happened, which is the
-/// sum of [`POLL_WAIT`], [`REPLY_MARGIN`] and this.
+/// Additional time that a late poll is awaited. Together with [`POLL_WAIT`] and [`REPLY_MARGIN`], a poll is awaited for up
+/// to 7 s.
 const OVERDUE_TIMEOUT: Duration = Duration::from_millis(5700);
 /// Pause after the first quick poll without events; it doubles up to [`MAX_PAUSE`].
 const MIN_PAUSE: Duration = Duration::from_millis(50);
 /// The longest pause, which bounds the delay of events once the coordinator is available again. No pause follows a
 /// poll that took longer.
 const MAX_PAUSE: Duration = Duration::from_millis(200);
-/// Number of registered wakers from which some must be stale: only the current and the overdue poll wait.
+/// Number of registered wakers at which all are woken, which drops those of ended tasks. Only the tasks of the current and
+/// the overdue poll wait, so most wakers are then stale.
 const MAX_WAKERS: usize = 8;
-/// Minimum time between log messages about an unreachable coordinator.
+/// Minimum time between log messages about failures within [`MAX_PAUSE`]; slower failures are always logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a poll ended without a reply.
+/// Why a poll failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
     /// The connection was not established in time.
@@ -71,7 +72,7 @@
 struct PollConnection {
     socket: Socket,
     reader: Reader,
-    /// The poll's result, if it was read before the task ran.
+    /// The poll's result, if [`EndpointPoller::read_pending`] read it before the task that awaits the poll ran.
     ended: Option<Result<Reply, PollError>>,
 }
 
@@ -87,7 +88,7 @@
     driver: Rc<Driver>,
     list: RefCell<EndpointList>,
     address: Cell<SocketAddr>,
-    /// The number of address changes; tasks that began before the last one end.
+    /// The number of address changes. A task ends when this differs from the number at its start.
     address_changes: Cell<u64>,
     current: RefCell<Option<PollConnection>>,
     /// The oldest late poll and its connection.
@@ -156,7 +157,7 @@
     }
 
     async fn run(self: &Rc<Self>) {
-        // The first failure is logged at once, further ones at intervals.
+        // The first failure and slow failures are always logged, other failures at intervals.
         let mut next_log = Instant::now();
         let mut pause = MIN_PAUSE;
         loop {
@@ -177,7 +178,8 @@
         }
     }
 
-    /// Pauses after a poll that ended quickly without events.
+    /// Pauses if less than [`MAX_PAUSE`] has passed since the start of a poll without events, or of a connection that has
+    /// ended. Otherwise resets the pause.
     async fn back_off(&self, started_at: Instant, address_changes: u64, pause: &mut Duration) {
         if started_at.elapsed() >= MAX_PAUSE {
             *pause = MIN_PAUSE;
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Continues to await a late poll in the background, unless an older one is already awaited.
+    /// Continues to await the current, late poll in the background. Does nothing if an older late poll is still awaited.
     fn await_overdue(self: &Rc<Self>, address_changes: u64) {
         if self.overdue.borrow().is_some() {
             return;
@@ -338,7 +340,8 @@
         }
     }
 
-    /// Reads replies that have arrived but that the event loop has not reported.
+    /// Reads replies that have arrived but that the event loop has not reported. The driver calls this before it sends to
+    /// a worker, at most once per iteration of the event loop.
     fn read_pending(&self) {
         for connection in [&self.overdue, &self.current] {
             let reply = self.poll_reply(connection, |connection, buffer| {
--- a/net/sockets/src/interrupt.rs
+++ b/net/sockets/src/interrupt.rs
@@ -1,8 +1,8 @@
 //! Event sources whose reads may be interrupted by a signal.
 //!
-//! calloop returns an error of one source from `dispatch`, and drops the remaining events of that turn. Sockets are
-//! registered edge-triggered, so a dropped event is never reported again. An interrupted read is therefore ignored
-//! here; the source stays readable and is reported in the next turn.
+//! calloop returns an error of one source from `dispatch`, and drops the remaining events of that iteration of the event
+//! loop. Sockets are registered edge-triggered, so a dropped event is never reported again. An interrupted read is
+//! therefore ignored here; the source stays readable and is reported in the next iteration.
 
 use calloop::{EventSource, Poll, PostAction, Readiness, Token, TokenFactory};
 use std::error::Error;
--- a/net/sockets/src/lib.rs
+++ b/net/sockets/src/lib.rs
@@ -35,7 +35,7 @@
 }
 
 impl Spawner {
-    /// Creates a spawner and inserts its executor into the event loop.
+    /// Creates a spawner, and inserts its executor and the timer behind its timeouts into the event loop.
     pub fn new(handle: LoopHandle<'static, ()>) -> std::io::Result<Spawner> {
         let (executor, scheduler) = calloop::futures::executor::<()>().map_err(io_error)?;
         let inserted = handle.insert_source(IgnoreInterrupts(executor), |(), _, _| {});
@@ -47,9 +47,9 @@
             timers,
         })
     }
-    /// Runs a task on the loop until it ends.
+    /// Schedules a task to run on the event loop. A task that has not completed is dropped with the event loop.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
-        // Fails only if the event loop has ended, along with all tasks.
+        // Scheduling fails only after the event loop has dropped the executor, and all tasks with it.
         let _ = self.scheduler.schedule(task);
     }
     /// Returns a future that completes after `span`.
@@ -66,8 +66,8 @@
     }
 }
 
-/// Lets all other ready tasks run once. A connection's driver uses it so that its streams queue their data first and
-/// one system call sends all of it.
+/// Lets the other ready tasks run before a task continues. The task that drives a connection yields so that the
+/// connection's streams queue their data first, and one system call sends the data of all streams.
 pub struct Yield(bool);
 
 impl Yield {
@@ -75,7 +75,8 @@
     pub fn new() -> Yield {
         Yield(false)
     }
-    /// Returns pending on every other call, after scheduling the task behind those that are ready.
+    /// Alternates between `Pending` and `Ready`, starting with `Pending`. Before it returns `Pending`, it schedules the
+    /// task behind those that are already ready.
     pub fn poll(&mut self, cx: &Context<'_>) -> Poll<()> {
         self.0 = !self.0;
         if self.0 {
