--- a/settings/src/agreement/compatibility.rs
+++ b/settings/src/agreement/compatibility.rs
@@ -40,7 +40,8 @@
     Schema::new(rules.chain(fleet()))
 }
 
-/// Rules of the gateway's fields. Fields that each front end sets for itself, such as its index, addresses and sizes, are free.
+/// Rules of the gateway's fields. Most are free, including those that each front end sets for itself, such as its index and
+/// addresses.
 fn gateway() -> [Rule; 5] {
     [
         // All front ends must count a call under the same class and tenant.
@@ -120,7 +121,7 @@
 /// Rules of the fields that each front end reads from its own file.
 fn fleet() -> [Rule; 2] {
     [
-        // Differences between worker lists are resolved by the workers' incarnations.
+        // Worker lists may differ between front ends; the record with a worker's latest incarnation counts.
         ("workers", Free),
         // Each front end has its own fleet settings.
         ("fleet.*", Free),
--- a/settings/src/agreement/effective.rs
+++ b/settings/src/agreement/effective.rs
@@ -27,8 +27,9 @@
     effective_settings(&Fields::new(), &filled).map(drop)
 }
 
-/// Reads a function from its fields, whose names are relative to `functions.NAME`, with the schema's defaults filled in. A field
-/// that this program's schema does not know is an error, since this program can't know what it means for the function's calls.
+/// Reads a function from its fields, with the schema's defaults filled in. The paths of the fields lack the prefix
+/// `functions.NAME`. A field that this program's schema does not know is an error, since this program can't know what it means
+/// for the function's calls.
 pub fn read_function(name: &str, fields: &Fields) -> Result<crate::FunctionSettings, Errors> {
     crate::parse_as(
         &format!("functions.{name}"),
@@ -39,17 +40,17 @@
 }
 
 /// The settings that a front end applies: the fields of `rules`, and its own values of the fields that each front end sets for
-/// itself.
+/// itself, except workers and fleet settings. Classes that are `keyed` but have no deduplication window become `unsafe`.
 pub fn effective_settings(own_fields: &Fields, rules: &Fields) -> Result<crate::Settings, Errors> {
     let mut fields = rules.clone();
     fields.retain(|path, _| !is_own_field(path));
-    let unkeyed = keyed_without_window(&fields);
-    let not_repeatable = |path| (path, Value::Text("unsafe".into()));
-    fields.extend(unkeyed.into_iter().map(not_repeatable));
+    let without_window = keyed_without_window(&fields);
+    let as_unsafe = |path| (path, Value::Text("unsafe".into()));
+    fields.extend(without_window.into_iter().map(as_unsafe));
     // Workers and fleet settings are read from the front end's file only.
-    let separate = |path: &str| path == "workers" || path.starts_with("fleet.");
+    let is_from_file_only = |path: &str| path == "workers" || path.starts_with("fleet.");
     let own_fields = own_fields.iter();
-    let own_fields = own_fields.filter(|(path, _)| is_own_field(path) && !separate(path));
+    let own_fields = own_fields.filter(|(path, _)| is_own_field(path) && !is_from_file_only(path));
     fields.extend(own_fields.map(|(path, value)| (path.clone(), value.clone())));
     if let (Some(Value::Int(number)), Some(Value::Int(siblings))) =
         (fields.get("front.me"), fields.get("front.siblings"))
@@ -62,8 +63,9 @@
     crate::parse_settings("the version in use", &to_text(&fields))
 }
 
-/// The paths of `keyed` effects of classes without a deduplication window. They occur when a keyed class is combined with a
-/// version in which the class has no window: workers then drop no duplicates, so the calls must not be retried.
+/// The paths of the effects of classes that are `keyed` but have no deduplication window. This occurs while two versions are in
+/// use, if the class is keyed in one and has no window in the other. Workers then drop no duplicates, so the calls must not be
+/// retried.
 fn keyed_without_window(fields: &Fields) -> Vec<String> {
     let without_window = |path: &str| {
         let window = fields.get(&path.replace(".effect", ".window"));
