--- a/src/router/loading.rs
+++ b/src/router/loading.rs
@@ -41,7 +41,8 @@
     /// Load durations: in microseconds, or relative to the load time hint if there is one.
     durations: LatencyEstimate,
     in_progress: usize,
-    /// Maximum number in progress; below one with many front ends.
+    /// This front end's share of the loads that may be in progress. If it is below one, as with many front ends, the
+    /// front end runs one load at a time and starts at most one per interval.
     pub(super) window: f64,
     /// When the next load may start if the window is below one.
     next_slot_at: Time,
@@ -49,14 +50,15 @@
     next_after_ineffective: Time,
     /// The last load that ended had no effect.
     last_ineffective: bool,
-    /// When the load requests in the current period of the load budget were sent.
+    /// The times at which the load requests in the current period of the load budget were sent.
     recent: VecDeque<Time>,
 }
 
 impl Router {
-    /// Requests a load if the function has fewer instances than its cap. If load requests are not allowed, sends the
-    /// call to a worker, which loads the function for it. `request_id` is the call that waits for the load, if there
-    /// is one.
+    /// Requests a load if the function has fewer instances than its cap and a load may start at a worker. Otherwise
+    /// queries the instances of a worker, if only a query finds those that other front ends have loaded. If load
+    /// requests are not allowed, sends the call to a worker, which loads the function for it. `request_id` is the call
+    /// that waits for the load, if there is one.
     pub(super) fn load_more(
         &mut self,
         now: Time,
@@ -96,9 +98,9 @@
     ///
     /// # Departure from the base algorithm
     ///
-    /// The number of loads in progress is limited over all front ends, which bounds the load of the function store
-    /// after a release of many functions, when it is slow, or when a zone starts empty. If the share of a front end
-    /// is below one, it may start one load per interval.
+    /// The number of loads in progress is limited over all front ends. This bounds the load on the function store after
+    /// a release of many functions, when the store is slow, or when a zone starts empty. A front end whose share is
+    /// below one may start one load per interval.
     ///
     /// Trade-off: loads wait for their interval.
     fn has_load_slot(&self, now: Time) -> bool {
@@ -111,17 +113,18 @@
     ///
     /// # Departure from the base algorithm
     ///
-    /// Where a miss loads the function, a call cannot be sent just to see whether an instance exists. The worker is
-    /// queried for its instances instead, which loads nothing.
+    /// If a worker loads the function when a call finds no instance, a call cannot be sent just to see whether an
+    /// instance exists. The worker is queried for its instances instead, which loads nothing.
     ///
     /// Trade-off: the cost of the query.
     fn must_query_instances(&self) -> bool {
         self.settings.front_ends > 1 && !self.others_may_have_loaded()
     }
 
-    /// Selects the worker to load a function at or to query for it. Where other front ends may have loaded it, a
-    /// worker qualifies only if a call found the instance missing there or a call is waiting. A worker where it was
-    /// missed less than `retry_after` ago does not qualify. `discount` is that of [`Router::instance_cap`].
+    /// Selects the worker at which to load a function, or to query for the function's instances. If no call waits and
+    /// other front ends may have loaded the function, only workers with a recorded miss qualify. A worker whose last
+    /// miss is less than `retry_after` ago does not qualify; a query counts as a miss until an instance is found.
+    /// `discount` is that of [`Router::instance_cap`].
     fn load_candidate(
         &self,
         now: Time,
@@ -222,8 +225,8 @@
     }
 
     /// Whether one more load request stays within the load budget of the period: the base number plus the share of
-    /// arrivals. Loads expire a tick later and arrivals a tick earlier, so that the budget also holds when times are
-    /// off by a tick.
+    /// arrivals. Loads expire a tick later and arrivals a tick earlier, so that the budget also holds when
+    /// recorded times deviate by up to a tick.
     fn within_load_budget(&mut self, now: Time) -> bool {
         let tick = self.settings.tick;
         let period = self.settings.load_budget.map_or(0, |budget| budget.period);
@@ -271,8 +274,8 @@
         self.dispatch_queue(now, result.function, actions);
     }
 
-    /// Presumes that an instance was loaded although the connection of its load request was lost. Returns whether it
-    /// does.
+    /// Decides whether an instance is presumed to be loaded although the connection of its load request was lost;
+    /// records and returns the decision.
     ///
     /// # Departure from the base algorithm
     ///
@@ -297,8 +300,8 @@
         presumed
     }
 
-    /// Records whether a load request left an instance loaded. The end of a query, without a requested load, counts
-    /// only if it failed.
+    /// Records whether the worker has an instance after a load request or query. Without one, it counts as a load
+    /// without effect, unless the connection was lost or the worker served a query.
     fn record_load_effect(&mut self, now: Time, result: &LoadResult, load_requested: bool) {
         if result.instances > 0 {
             if let Some(worker) = self.workers.get_mut(&result.worker) {
@@ -347,7 +350,7 @@
     /// A worker that falsely reports the end of loads at once would receive load requests without pause. From the
     /// second consecutive load without effect, the instance is excluded with exponential backoff. Further loads are
     /// spaced by [`INEFFECTIVE_LOAD_INTERVAL`] at workers whose last load had no effect, and at all workers while the
-    /// last load of any had none.
+    /// load that ended last, at whichever worker, had no effect.
     ///
     /// Trade-off: a worker that is repaired without a restart is used again only seconds later.
     pub(super) fn load_without_effect(
