--- a/net/platform/src/endpoint_poller.rs
+++ b/net/platform/src/endpoint_poller.rs
@@ -88,7 +88,7 @@
     driver: Rc<Driver>,
     list: RefCell<EndpointList>,
     address: Cell<SocketAddr>,
-    /// The number of address changes. A task ends when this differs from the number at its start.
+    /// The number of address changes. Connection attempts, polls and pauses that began before the last change end.
     address_changes: Cell<u64>,
     current: RefCell<Option<PollConnection>>,
     /// The oldest late poll and its connection.
--- a/src/router/loading.rs
+++ b/src/router/loading.rs
@@ -225,8 +225,8 @@
     }
 
     /// Whether one more load request stays within the load budget of the period: the base number plus the share of
-    /// arrivals. Loads expire a tick later and arrivals a tick earlier, so that the budget also holds when
-    /// recorded times deviate by up to a tick.
+    /// arrivals. Loads expire a tick later and arrivals a tick earlier, so that the budget also holds when recorded
+    /// times deviate by up to a tick.
     fn within_load_budget(&mut self, now: Time) -> bool {
         let tick = self.settings.tick;
         let period = self.settings.load_budget.map_or(0, |budget| budget.period);
@@ -300,8 +300,8 @@
         presumed
     }
 
-    /// Records whether the worker has an instance after a load request or query. Without one, it counts as a load
-    /// without effect, unless the connection was lost or the worker served a query.
+    /// Records whether the worker has an instance after a load request or query. Without one, the request or
+    /// query counts as a load without effect, unless the connection was lost or the worker served a query.
     fn record_load_effect(&mut self, now: Time, result: &LoadResult, load_requested: bool) {
         if result.instances > 0 {
             if let Some(worker) = self.workers.get_mut(&result.worker) {
