--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -1,4 +1,5 @@
-//! `up`: the process supervisor of one machine, which also controls rollouts. `steer`: a rollout controller alone.
+//! The command `up`, which supervises the front ends of one machine and controls rollouts, and the command `steer`, which only controls
+//! rollouts.
 
 mod file;
 mod fleet_state;
@@ -27,14 +28,14 @@
 
 /// Time between two checks of the processes.
 const PROCESS_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two requests to the fleet.
+/// Time between two queries of the fleet's state.
 const FLEET_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of a request to a front end.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum number of crashes waiting to be reported; the oldest are dropped.
 const MAX_UNREPORTED: usize = 256;
 
-/// Runs the front ends of a machine's file until SIGTERM or SIGINT.
+/// Runs the front ends that the machine file at `path` lists, until SIGTERM or SIGINT.
 pub(crate) fn run(path: &Path) -> Result<(), FleetError> {
     let file = file::read(path)?;
     let terminated = Arc::new(AtomicBool::new(false));
@@ -48,7 +49,8 @@
     Ok(())
 }
 
-/// Controls rollouts without running front ends, until SIGTERM or SIGINT.
+/// Controls rollouts as the controller `name` until SIGTERM or SIGINT, without running front ends. The fleet is queried through
+/// `front_end`.
 pub(crate) fn control_rollouts(name: &str, front_end: SocketAddr) -> Result<(), FleetError> {
     let mut client = Client::new().map_err(FleetError::unreachable)?;
     let terminated = Arc::new(AtomicBool::new(false));
@@ -79,7 +81,7 @@
     programs: BTreeMap<String, PathBuf>,
     /// Label of the program that front ends run outside of rollouts.
     current_label: String,
-    /// Crashes that are not in the rollout's log yet, oldest first.
+    /// Crashes that are not reported to the leader yet, oldest first.
     unreported: Vec<Crash>,
 }
 
@@ -115,6 +117,7 @@
         Ok(machine)
     }
 
+    /// Supervises the front ends until `terminated` is set, then shuts them down and returns once none has a process.
     fn serve(&mut self, terminated: &AtomicBool) {
         let mut next_refresh = Instant::now();
         let mut shutting_down = false;
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Reads the fleet's state and passes on what it assigns to these front ends.
+    /// Reads the fleet's state and tells the supervisor which program each front end of this machine should run.
     fn refresh(&mut self) {
         let own = self.file.front_ends.iter().map(|own| own.peer_address);
         let addresses: Vec<SocketAddr> = self
@@ -186,8 +189,9 @@
         }
     }
 
-    /// Outside of rollouts, the first front end that runs another program than the fleet's current one, because it was started while the
-    /// leader could not be reached. Such front ends are replaced one after the other.
+    /// Returns the first front end that runs another program than the fleet's current one, for example because it was started while the
+    /// leader could not be reached. Such front ends are replaced one after the other. Returns `None` during a rollout, or if the
+    /// fleet's state is not current or names no program.
     fn outdated(&self, rollout: Option<&Rollout>) -> Option<&str> {
         if rollout.is_some() || !self.fleet.is_current || self.fleet.program.is_none() {
             return None;
@@ -205,7 +209,8 @@
             .find(is_outdated)
     }
 
-    /// The process that is assigned to a front end.
+    /// The program that a front end should run, and whether a process of another program may be replaced now. `outdated` is the result of
+    /// [`Machine::outdated`].
     fn desired(
         &self,
         name: &str,
@@ -256,6 +261,7 @@
         }
     }
 
+    /// Starts a front end's process, and tells the supervisor the outcome.
     fn start_process(&mut self, name: &str, label: &str) {
         let own = self.file.front_ends.iter().find(|own| own.name == name);
         let Some(arguments) = own.map(file::FrontEnd::command_line) else {
@@ -278,6 +284,7 @@
         }
     }
 
+    /// Stores the program `label` in the machine's folder, unless it is there, and starts it.
     fn try_start(
         &mut self,
         name: &str,
@@ -290,6 +297,7 @@
         self.processes.start(name, label, &program, arguments)
     }
 
+    /// Logs a crash, and keeps it for [`Machine::report_crashes`].
     fn record_crash(&mut self, crash: Crash) {
         tracing::warn!(
             name = crash.name,
@@ -304,7 +312,8 @@
         }
     }
 
-    /// Reports crashes to the rollout in progress. Without one they are dropped.
+    /// Reports crashes to the leader, for the rollout in progress; without one they are dropped. If the leader can't be reached, the
+    /// remaining crashes are reported later.
     fn report_crashes(&mut self) {
         let rollout = self.fleet.rollout.as_ref();
         if rollout.is_none_or(Rollout::has_ended) {
--- a/programs/fleet/src/terminal.rs
+++ b/programs/fleet/src/terminal.rs
@@ -8,7 +8,7 @@
 use ratatui::Frame;
 use tansy_rollout::{Rollout, RolloutChange, RolloutPhase};
 
-/// Number of latest steps shown.
+/// Maximum number of steps shown, the latest ones.
 const MAX_STEPS: usize = 7;
 
 /// Draws a rollout.
@@ -50,12 +50,13 @@
     frame.render_widget(state, area);
 }
 
+/// Draws how many of the plan's front ends are changed, and which of them are released to be changed or changed back now.
 fn draw_progress(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout, color: Color) {
     let target_count = rollout.plan.targets().count().max(1);
     let share = (rollout.changed.len() as f64 / target_count as f64).clamp(0.0, 1.0);
     let released: Vec<&str> = rollout.released.iter().map(String::as_str).collect();
     let label = format!(
-        "stage {} of {}: {} of {target_count} changed, in progress: {}",
+        "stage {} of {}; {} of all {target_count} front ends changed; released: [{}]",
         rollout.stage + 1,
         rollout.plan.stages.len(),
         rollout.changed.len(),
@@ -77,6 +78,9 @@
     frame.render_widget(list, area);
 }
 
+/// Draws the last observed measurements: the loss rate of the unchanged and of the changed front ends, the loss caused by the change
+/// with the half width of its confidence interval, and the number of time slices measured. A row is red if the whole interval is
+/// above zero.
 fn draw_measurements(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout) {
     let Some(observation) = rollout.observations.last() else {
         let empty = Paragraph::new("no measurements yet").block(Block::bordered());
@@ -100,13 +104,20 @@
     };
     let widths = [30, 10, 10, 10, 12, 8].map(Constraint::Length);
     let title = format!(
-        "stage {}, {} s: {}",
+        "stage {}, analysed for {} s: {}",
         observation.stage + 1,
         observation.elapsed_seconds,
         verdict_text(observation)
     );
     let table = Table::new(observation.measurements.iter().map(row), widths)
-        .header(Row::new(["metric", "old", "new", "loss", "+-", "slices"]))
+        .header(Row::new([
+            "metric",
+            "unchanged",
+            "changed",
+            "loss",
+            "half width",
+            "slices",
+        ]))
         .block(Block::bordered().title(title));
     frame.render_widget(table, area);
 }
