--- a/tests/soak/src/process.rs
+++ b/tests/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Front ends as real processes, which are started, signalled, and restarted on the same address.
+//! Starts front ends as real processes, sends them signals, and restarts them on the same address.
 //!
 //! `ServerProcess` of `tansy-test-support` can't be used here: with `--platform` a front end prints no `ready` line, and is ready once
 //! it answers `/alive`. All waits here are asynchronous and have timeouts.
@@ -30,11 +30,13 @@
 const READY_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout of a liveness request.
 const ALIVE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long clients open new connections after SIGTERM.
+/// Time after SIGTERM that is meant for new connections. Only its sum with [`REQUESTS_AFTER_CONNECTIONS`] is used: until then, or until
+/// the end of a longer suspension, clients open connections and send requests.
 const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// How long clients send requests after [`CONNECTIONS_AFTER_TERM`].
+/// Further time after [`CONNECTIONS_AFTER_TERM`] that is meant for requests on open connections; only the sum of both is used.
 const REQUESTS_AFTER_CONNECTIONS: Duration = Duration::from_millis(200);
-/// Time between SIGTERM and SIGKILL: the longest deadline, taken as 3 s, plus 0.7 s.
+/// Time between SIGTERM and SIGKILL. It is long enough for the requests that clients still send after SIGTERM to time out;
+/// their timeouts are below 2 s.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
 /// Front ends per /24 network of loopback addresses.
 const ADDRESSES_PER_NETWORK: usize = 250;
@@ -70,9 +72,9 @@
 struct Process {
     child: Child,
     stdout: BufReader<ChildStdout>,
-    /// The coordinators that the process was configured with; it uses the last one.
+    /// The coordinators that the process has been configured with, oldest first; its configuration file names the last one.
     coordinators: Vec<CoordinatorListener>,
-    /// The last event in the endpoint list that the process was started with.
+    /// Number of the last event that the endpoint list given to the process at its start includes.
     known_event: u64,
     configuration: PlatformConfiguration,
     configuration_path: PathBuf,
@@ -116,7 +118,8 @@
         self.endpoints.set(self.index, endpoint);
     }
 
-    /// Starts the next process, with these system call faults, and waits until it is ready, has ended, or [`READY_WITHIN`] is over.
+    /// Starts the next process, and waits until it is ready, has ended, or [`READY_WITHIN`] is over. `rules` are the system call faults
+    /// to inject, and `seed` seeds their random choices. A process that is not ready by then is no error here: the oracle reports it.
     pub async fn start(&mut self, rules: &str, seed: u64) -> Result<(), SoakError> {
         self.process_number += 1;
         let (workers, known_event) = self.discovery.snapshot();
@@ -159,6 +162,7 @@
         self.launch.folder.join(name)
     }
 
+    /// Spawns the program with this configuration and these system call faults. Its log goes to a file of its own.
     fn spawn(
         &self,
         configuration: &Path,
@@ -342,8 +346,8 @@
     matches!(timeout(ALIVE_TIMEOUT, answered).await, Ok(Some(())))
 }
 
-/// Reserves the front ends' addresses, each on a separate loopback host: while a front end is down, outgoing connections from 127.0.0.1
-/// can't take its port.
+/// Reserves an address for each front end, on a loopback host of its own. Outgoing connections use 127.0.0.1, so they can't take the
+/// port of a front end that is down.
 pub fn reserve_addresses(count: usize) -> Result<Vec<ReservedAddress>, SoakError> {
     let reserve = |index: usize| {
         let network = 1 + (index / ADDRESSES_PER_NETWORK) as u8;
