--- a/simulation/src/fleet/operator.rs
+++ b/simulation/src/fleet/operator.rs
@@ -1,11 +1,11 @@
-//! Operator requests to the leader: new versions, voter replacements and abandoned changes.
+//! Operator requests to the leader: to propose a version, to replace a voter, and to abandon a version change.
 
 use super::process::{address_of, id_of};
 use super::{settings, Simulation};
 use tansy_agreement::log::LogEntry;
 
 impl Simulation<'_> {
-    /// Proposes a version; `None` if there is no leader.
+    /// Asks the leader to introduce a version with changed fields. Returns `None` if there is no leader.
     pub(super) fn propose(&mut self) -> Option<()> {
         let id = self.rng.u64(1..);
         let (leader, state) = self.leader()?;
@@ -19,13 +19,15 @@
         Some(())
     }
 
-    /// Requests that a random candidate replaces a random voter; `None` if there is no leader or no known voter.
+    /// Asks the leader to replace a random voter by a random voter candidate, which the log rejects if it is a voter already. Returns
+    /// `None` if there is no leader, or if the audit knows no voter yet.
     pub(super) fn replace_voter(&mut self) -> Option<()> {
         let (leader, _) = self.leader()?;
         let candidate = self.rng.usize(0..self.disks.len());
         let voters = &self.audit.voters;
         let replaced = *voters.get(self.rng.usize(0..voters.len().max(1)))?;
         let entry = LogEntry::BeginVoterReplacement {
+            // Not a wide id: those are used only in runs at scale, which request no voter replacements.
             new: id_of(candidate, false),
             address: address_of(candidate),
             replaced,
@@ -34,7 +36,7 @@
         Some(())
     }
 
-    /// Abandons the pending version change, if there is one; `None` if there is no leader.
+    /// Asks the leader to abandon the pending version change, if there is one. Returns `None` if there is no leader.
     pub(super) fn abandon(&mut self) -> Option<()> {
         let (leader, state) = self.leader()?;
         if let Some((next, _)) = state.next {
@@ -44,7 +46,8 @@
         Some(())
     }
 
-    /// Asks a process to append an entry; the response carries `id`.
+    /// Asks the process `leader` to append an entry. The response carries the request number `id`, which is 0 where the response is
+    /// not evaluated.
     pub(crate) fn request(&mut self, leader: usize, id: u64, entry: LogEntry) {
         self.step_node(leader, |node, now, commands| {
             node.request(now, id, entry, commands)
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -33,7 +33,7 @@
     pub(crate) result: SimulationResult,
     /// The measurement at scale, if there is a scenario.
     pub(crate) scale: Option<Box<ScaleMeasurement>>,
-    /// The member directories of the hollow tier.
+    /// The member directories of the hollow tier, in which all processes share one directory instead of using gossip.
     pub(crate) directories: Option<SharedDirectories>,
     pub(crate) scopes: Option<Scopes>,
     pub(super) sent: SentMessages,
--- a/simulation/src/scale/failures.rs
+++ b/simulation/src/scale/failures.rs
@@ -6,14 +6,17 @@
 use crate::fleet::{Event, Process, Simulation};
 use tansy_agreement::lease::Member;
 
-/// The processes that a failure affects, and its course.
+/// Which processes the crash of a rack or zone, or a rolling restart, is to end, and when the fleet may count as recovered.
 struct FailurePlan {
-    ended: Vec<usize>,
+    /// Indices of all processes to be ended.
+    to_end: Vec<usize>,
+    /// The fleet does not count as recovered before this time.
     earliest_recovery: Time,
     /// The batches of a rolling restart in reverse order.
     batches: Vec<Vec<usize>>,
 }
 
+/// The uptime of a process, and the parts of it without a valid lease or session.
 fn accounted(process: &Process) -> AccountedTime {
     AccountedTime {
         uptime: process.uptime,
@@ -32,6 +35,7 @@
             .fold(AccountedTime::default(), AccountedTime::plus)
     }
 
+    /// Begins the measurement of a partition.
     pub(super) fn begin_partition(&mut self) {
         self.account_all();
         if let Some(scale) = &mut self.scale {
@@ -40,6 +44,7 @@
         }
     }
 
+    /// Reports both sides of the partition that has ended: the regions that stayed connected, and the isolated ones.
     pub(super) fn end_partition(&mut self) {
         self.account_all();
         let [main, cut] = [false, true].map(|is_cut| self.partition_side(is_cut));
@@ -53,7 +58,7 @@
         scale.healing_since = Some(self.now);
     }
 
-    /// The measurements of one side of the partition since it began.
+    /// What one side lost since the partition began: the isolated regions if `is_cut` is set, otherwise the regions that stay connected.
     fn partition_side(&self, is_cut: bool) -> PartitionSide {
         let Some(scale) = &self.scale else {
             return PartitionSide::default();
@@ -78,20 +83,22 @@
         }
     }
 
-    /// The front ends of a rack or zone: the first `count` non-voters of one region, preceded by the leader if
-    /// `with_leader` is set.
+    /// Chooses the front ends of a rack or zone, at most `count` of one region. With `with_leader` they are the leader and the first
+    /// `count - 1` non-voters of its region; otherwise, or if there is no leader, the first `count` non-voters of the last region.
     fn colocated(&self, count: usize, with_leader: bool) -> Vec<usize> {
         let leader = self
             .leader()
             .map(|(index, _)| index)
             .filter(|_| with_leader);
-        let last_region = (self.processes.len() - 1).min(self.network.regions() - 1);
-        let region = self.network.region(leader.unwrap_or(last_region));
+        // A process of the last region; region `r` contains process `r`, if the fleet has that many.
+        let last_region_process = (self.processes.len() - 1).min(self.network.regions() - 1);
+        let region = self.network.region(leader.unwrap_or(last_region_process));
         let others = (self.options.voters..self.processes.len())
             .filter(|index| self.network.region(*index) == region);
         leader.into_iter().chain(others).take(count).collect()
     }
 
+    /// Plans a rolling restart if the scenario has one, otherwise the crash of a zone or, without zones, of a rack.
     fn plan_failure(&self, scenario: &ScaleScenario) -> FailurePlan {
         let front_ends = self.processes.len();
         if scenario.rolling_batches > 0 {
@@ -103,7 +110,7 @@
                     .collect()
             };
             return FailurePlan {
-                ended: (0..front_ends).filter(is_started).collect(),
+                to_end: (0..front_ends).filter(is_started).collect(),
                 earliest_recovery: self.now,
                 batches: (0..scenario.rolling_batches).rev().map(batch).collect(),
             };
@@ -113,7 +120,7 @@
             None => (scenario.rack_size, self.now + self.options.lease.span),
         };
         FailurePlan {
-            ended: self.colocated(count, scenario.with_leader),
+            to_end: self.colocated(count, scenario.with_leader),
             earliest_recovery,
             batches: Vec::new(),
         }
@@ -128,7 +135,7 @@
         };
         let plan = self.plan_failure(&scenario);
         let members: Vec<Member> = plan
-            .ended
+            .to_end
             .iter()
             .filter_map(|index| self.member(*index))
             .collect();
@@ -137,8 +144,8 @@
             return;
         };
         scale.failure = Some(FailureReport {
-            front_ends: plan.ended.len(),
-            voters: plan.ended.iter().filter(|index| **index < voters).count(),
+            front_ends: plan.to_end.len(),
+            voters: plan.to_end.iter().filter(|index| **index < voters).count(),
             ..FailureReport::default()
         });
         scale.ongoing_failure = Some(OngoingFailure {
@@ -156,9 +163,9 @@
                 .into_iter()
                 .map(|member| DeadMember { member, ended: now });
             scale.dead_on_roster.extend(dead);
-            scale.dead_front_ends.extend(&plan.ended);
+            scale.dead_front_ends.extend(&plan.to_end);
         }
-        for process in plan.ended {
+        for process in plan.to_end {
             self.schedule(now, Event::Stop { process });
             if scenario.zones > 0 {
                 let at = now + scenario.zone_downtime + self.rng.i64(0..SECOND);
@@ -190,22 +197,24 @@
         }
         if let Some(batch) = failure.remaining_batches.pop() {
             failure.current_batch = batch.clone();
-            let away = scale.scenario.rolling_downtime;
-            return self.restart_batch(batch, away);
+            let downtime = scale.scenario.rolling_downtime;
+            return self.restart_batch(batch, downtime);
         }
         let is_due = self.now > failure.earliest_recovery;
-        let dead = &scale.dead_front_ends;
+        let permanently_dead = &scale.dead_front_ends;
         let mut processes = self.processes.iter().enumerate();
-        let all_back = processes.all(|(index, p)| p.is_running() || dead.contains(&index));
+        let all_back =
+            processes.all(|(index, p)| p.is_running() || permanently_dead.contains(&index));
         if is_due && all_back && self.all_leased() {
             self.report_failure(true);
         }
     }
 
-    fn restart_batch(&mut self, batch: Vec<usize>, away: Time) {
+    /// Shuts down the processes of a batch, and restarts each after `downtime` and up to one second more.
+    fn restart_batch(&mut self, batch: Vec<usize>, downtime: Time) {
         for process in batch {
             self.schedule(self.now, Event::Leave { process });
-            let at = self.now + away + self.rng.i64(0..SECOND);
+            let at = self.now + downtime + self.rng.i64(0..SECOND);
             self.schedule(at, Event::Start { process });
         }
     }
--- a/simulation/src/scale/mod.rs
+++ b/simulation/src/scale/mod.rs
@@ -1,9 +1,9 @@
 //! Measurements of large fleets: the control traffic of front ends, relays and voters, and the time that changes take.
 //!
-//! There are two tiers. In the **whole** tier every process discovers the others by gossip and keeps its own member list,
-//! so that memory grows with the square of the fleet size. In the **hollow** tier all processes share one directory, which
-//! is accurate but updated with a delay; leases, sessions, logs, drains and the audit are the same. The traffic of gossip,
-//! as measured in the whole tier, is added to the results ([`IDLE_MEMBERSHIP_TRAFFIC`]).
+//! A [`Tier`] says how the simulated processes discover each other. In the whole tier every process runs gossip and keeps its
+//! own member list, so that memory grows with the square of the fleet size. In the hollow tier gossip is not simulated: all
+//! processes share one directory, which is accurate but updated with a delay, and the traffic that gossip would cause
+//! ([`IDLE_MEMBERSHIP_TRAFFIC`]) is added to the results. Leases, sessions, logs, drains and the audit are the same in both.
 //!
 //! The measurement begins some time after all front ends have joined; the time to join is reported separately.
 
@@ -28,13 +28,13 @@
 use crate::fault::{Time, SECOND};
 use crate::fleet::{Simulation, SimulationOptions};
 
-/// Delay until the directory contains a started process: the median of the whole tier.
+/// Delay in the hollow tier until the directory contains a started process; the same as the median in the whole tier.
 const DETECTED_UP_AFTER: Time = SECOND * 35 / 100;
-/// Delay until the directory drops a crashed process: the median of the whole tier.
+/// Delay in the hollow tier until the directory drops a crashed process; the same as the median in the whole tier.
 const DETECTED_DOWN_AFTER: Time = SECOND * 32 / 10;
 /// Interval between checks of the whole fleet.
 const CHECK_INTERVAL: Time = SECOND / 4;
-/// Time between the last join or the end of the setup and the start of the measurement.
+/// Time between the last join, or the setup of functions that follows it, and the start of the measurement.
 const SETTLE_TIME: Time = 10 * SECOND;
 /// Time limit for all front ends to join after the last start, and for setting up functions after that.
 const START_LIMIT: Time = 180 * SECOND;
