--- a/programs/scale/src/run/changes.rs
+++ b/programs/scale/src/run/changes.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 use tansy_agreement::scope::ScopeUpdate;
 
-/// Number of changes to time, three of each kind, including those of the measured window.
+/// Number of changes after which no further one is timed. Those of the measured window count, and all failed ones.
 const TIMED_CHANGES: usize = 9;
 /// Number of failed changes after which no further one is requested.
 const MAX_FAILED_CHANGES: usize = 3;
-/// Maximum number of recently changed functions that are not chosen again.
+/// Maximum number of recently changed functions that are not chosen again; at most half of all functions are.
 const MAX_RECENT_CHANGES: usize = 12;
 /// Time between two timed changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(200);
@@ -44,11 +44,12 @@
 pub(super) enum UpdateOutcome {
     /// In force, this many milliseconds after the request.
     InForce(f64),
-    /// Abandoned by the leader.
+    /// Taken to be abandoned by the leader, whose record of the function is not changing and does not have the new fields.
     Abandoned,
 }
 
-/// Returns the outcome of one function's update, or `None` while it is in progress or the leader is not reachable.
+/// Returns the outcome of the first of the updates; callers watch one. Returns `None` while it is in progress, and also if the leader
+/// can't be queried, whatever the error.
 pub(super) fn update_outcome(
     fleet: &mut TestFleet,
     updates: &mut WatchedUpdates,
@@ -62,7 +63,7 @@
 }
 
 impl Measurement {
-    /// Times changes one by one until there are enough together with those of the measured window.
+    /// Times changes one by one until there are [`TIMED_CHANGES`] with those so far, or [`MAX_FAILED_CHANGES`] have failed.
     pub(super) fn time_changes(&mut self) -> Result<(), Error> {
         let kinds = FieldKind::shuffled(&mut self.rng);
         let mut done = self.in_force_times.len() + self.failed_changes;
@@ -136,7 +137,7 @@
         Ok(())
     }
 
-    /// Records a change that did not come in force.
+    /// Records a change that did not come into force.
     pub(super) fn record_failure(&mut self, issue: String) {
         self.failed_changes += 1;
         self.issues.push(issue);
@@ -165,7 +166,8 @@
         })
     }
 
-    /// Chooses a function, with a preference for widely called ones. Recently changed ones are excluded, since they may still settle.
+    /// Chooses a function, with a preference for widely called ones. Recently changed ones are excluded: the leader rejects a further
+    /// change of a function until the last one is settled.
     fn choose_function(&mut self) -> usize {
         let functions = self.arguments.scopes;
         let max_recent = MAX_RECENT_CHANGES.min(functions / 2);
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Returns whether a version has come in force or has timed out, and records which.
+    /// Returns whether a version has come into force or has timed out, and records which.
     fn check_version(&mut self, change: &PendingChange, version: u64) -> bool {
         if let Some(at) = self.fleet.in_force_since(version) {
             let ms = (at - change.requested_at) as f64 / 1e3;
@@ -230,7 +232,7 @@
         true
     }
 
-    /// Returns whether a function's update has come in force, was abandoned or has timed out, and records which.
+    /// Returns whether a function's update has come into force, was abandoned or has timed out, and records which.
     fn check_function(
         &mut self,
         kind: FieldKind,
