--- a/decide/fleet-node/src/change_controller.rs
+++ b/decide/fleet-node/src/change_controller.rs
@@ -17,7 +17,8 @@
 use tansy_agreement::subscription::ResyncEpoch;
 use tansy_consensus::{Effect, Replica};
 
-/// A joint change of strict fields, which rejects the calls that it affects, is abandoned after this time.
+/// A version change that has been in the joint phase for this time and still can't advance is abandoned. In that phase the calls that
+/// a change of strict fields affects are rejected.
 const JOINT_TIMEOUT: Time = 10_000_000;
 /// Time between two checks for expired sessions, and between two checks for scopes that can be advanced.
 const CHECK_INTERVAL: Time = 50_000;
@@ -168,7 +169,9 @@
         self.reject_all(&RequestRejection::LeadershipLost, commands);
     }
 
-    /// Grants a session to a member of the roster. For any other front end a join is queued, and a later request succeeds.
+    /// Grants a session to a member of the roster. For another front end it queues a join, so that a later request may succeed. Returns
+    /// `None` too if this voter does not lead or has no log yet, if the front end lacks support for scopes that are in use, or if its
+    /// removal is queued.
     pub(crate) fn grant_session(
         &mut self,
         now: Time,
@@ -178,13 +181,13 @@
         let uses_scopes = self.uses_scopes();
         let sessions = self.sessions.as_mut()?;
         let log = self.replica.log()?;
-        // A program without support for scopes would apply only the versions to every function.
+        // A program without support for scopes would apply only the versions, to every function.
         if uses_scopes && !request.supports_scopes {
             return None;
         }
         let member = request.from;
         if log.has_member(member) {
-            // Once a member is removed, changes no longer wait for it, so it must not hold a session.
+            // Once a queued removal is applied, changes no longer wait for the member, so no further session is granted.
             if self.queue.iter().any(|queued| is_leave_of(queued, member)) {
                 return None;
             }
@@ -200,7 +203,7 @@
         None
     }
 
-    /// Whether a front end may already hold a session.
+    /// Whether the session table has this member, which may therefore hold a session. False unless this voter leads.
     pub(crate) fn has_session_entry(&self, member: Member) -> bool {
         self.sessions
             .as_ref()
