--- a/decide/rollout/src/controller.rs
+++ b/decide/rollout/src/controller.rs
@@ -197,7 +197,7 @@
                 .analysis_start
                 .map_or(0, |start| ((now - start.began_at) / SECOND) as u64);
             let measurements = stage_analysis.analysis.measurements();
-            self.value_lost = ValueLost::of(&reports, &measurements);
+            self.value_lost = ValueLost::estimate(&reports, &measurements);
             self.unsent = Some(StageObservation {
                 stage: rollout.stage,
                 elapsed_seconds: elapsed,
@@ -295,7 +295,7 @@
                 reason,
             });
         }
-        if let Some(reason) = self.value_lost.excess(rollout.plan.max_value_lost) {
+        if let Some(reason) = self.value_lost.rollback_reason(rollout.plan.max_value_lost) {
             return Some(RolloutEntry::Fail {
                 revision,
                 fence,
--- a/decide/rollout/src/controller/analysis.rs
+++ b/decide/rollout/src/controller/analysis.rs
@@ -5,10 +5,10 @@
     AnalysisParameters, CanaryAnalysis, FrontEndReport, Measurement, UnplannedExit,
 };
 
-/// Consecutive crashes of one front end that fail a stage.
+/// Number of consecutive crashes of one front end from which the analysis counts a crash loop.
 const CRASH_LOOP: u32 = 3;
 
-/// The canary analysis of a stage, numbered as by [`Rollout::analyses`].
+/// The canary analysis of a stage. Its number is the value that [`Rollout::analyses`] had when it began.
 #[derive(Clone, Debug)]
 pub(super) struct StageAnalysis {
     number: u64,
@@ -86,8 +86,9 @@
 }
 
 impl ValueLost {
-    /// Estimates the loss at the lower end of its confidence interval, so that only a significant loss counts.
-    pub(super) fn of(reports: &[FrontEndReport], measurements: &[Measurement]) -> ValueLost {
+    /// Estimates the value lost by the canary group from the metric `service`. The loss is taken at the lower end of its confidence
+    /// interval, and as at least 0, so that only a significant loss counts.
+    pub(super) fn estimate(reports: &[FrontEndReport], measurements: &[Measurement]) -> ValueLost {
         let value_requested = |canary_only: bool| -> f64 {
             reports
                 .iter()
@@ -107,7 +108,7 @@
     }
 
     /// The reason for a rollback if at least the share `allowed` is lost.
-    pub(super) fn excess(&self, allowed: f64) -> Option<String> {
+    pub(super) fn rollback_reason(&self, allowed: f64) -> Option<String> {
         let share = self.lost / self.total;
         (self.total > 0.0 && share >= allowed).then(|| {
             format!(
--- a/decide/rollout/src/supervisor.rs
+++ b/decide/rollout/src/supervisor.rs
@@ -1,8 +1,9 @@
 //! The process supervisor of one machine: keeps at most one process for each of its front ends.
 //!
-//! A process is replaced only while the rollout releases its front end, and only by an assignment no older than
-//! [`SupervisorLimits::assignment_validity`]: a supervisor that was suspended has to read the rollout again before it acts. A process
-//! that crashes is restarted after an exponentially growing delay, with the program that is assigned by then.
+//! Each front end is assigned a program. A running process is replaced by one of another program only if the assignment permits that
+//! ([`DesiredProcess::may_replace`]) and is no older than [`SupervisorLimits::assignment_validity`]: a supervisor that was suspended has
+//! to receive a new assignment before it acts. A process that crashes is restarted after an exponentially growing delay, with the program
+//! that is assigned by then.
 
 mod process;
 
@@ -27,7 +28,8 @@
     pub first_restart_delay: Time,
     /// Maximum restart delay.
     pub max_restart_delay: Time,
-    /// Time ready after which a process is stable: the restart delay after its next crash is the first one again.
+    /// Once a process has been ready for this long, its front end's earlier crashes no longer count: the restart delay after its next
+    /// crash is [`SupervisorLimits::first_restart_delay`].
     pub stable_after: Time,
     /// How long an assignment is valid, counted from the request for it.
     pub assignment_validity: Time,
@@ -55,7 +57,7 @@
     }
 }
 
-/// What the rollout assigns to a front end.
+/// The program that is assigned to a front end.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DesiredProcess {
     /// The label of the program to run.
@@ -146,7 +148,8 @@
         self.set_running(now, name, pid, label, Some(now));
     }
 
-    /// Sets what the rollout assigns to a front end. An answer to a request older than the last one is ignored.
+    /// Sets the assignment of a front end. `requested_at` is the time of the request that it answers; if that is before the request for
+    /// the present assignment, it is ignored.
     pub fn set_desired(&mut self, requested_at: Time, name: &str, desired: DesiredProcess) {
         let process = self.processes.get_mut(name);
         if let Some(process) = process.filter(|process| requested_at >= process.desired_at) {
@@ -160,6 +163,7 @@
         self.set_running(now, name, pid, label, None);
     }
 
+    /// Records that a process of the program `label` runs since `since`, and is ready since `ready`, if it is.
     fn set_running(
         &mut self,
         since: Time,
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Handles the exit of a process. One that was not to be terminated counts as a crash.
+    /// Handles the exit of a process. The exit of one that the supervisor was not terminating counts as a crash.
     pub fn on_exit(
         &mut self,
         now: Time,
@@ -244,14 +248,14 @@
         }
     }
 
-    /// Whether no process runs.
+    /// Whether no front end has a process, or one that is being started.
     pub fn is_finished(&self) -> bool {
         self.processes
             .values()
             .all(|process| matches!(process.state, ProcessState::Absent { .. }))
     }
 
-    /// The process of a front end, and the label of its program unless it is being terminated.
+    /// The process id of a front end's process, with the label of its program, or with `None` while it is being terminated.
     pub fn process(&self, name: &str) -> Option<(ProcessId, Option<&str>)> {
         match &self.processes.get(name)?.state {
             ProcessState::Running { pid, label, .. } => Some((*pid, Some(label))),
