--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -23,15 +23,15 @@
 
 /// Interval at which the totals are logged.
 const TOTALS_INTERVAL: Duration = Duration::from_secs(10);
-/// Longest iteration of the event loop while the gateway serves.
+/// Maximum wait in one iteration of the event loop while the gateway serves.
 const IDLE_TURN: Duration = Duration::from_secs(60);
-/// Longest iteration of the event loop while open calls end.
+/// Maximum wait in one iteration of the event loop while the gateway waits for open calls to end.
 const DRAIN_TURN: Duration = Duration::from_millis(20);
-/// Longest iteration of the event loop while the front end leaves its fleet.
+/// Maximum wait in one iteration of the event loop while the front end leaves its fleet.
 const LEAVE_TURN: Duration = Duration::from_millis(5);
-/// Time to send the messages with which a front end leaves its fleet.
+/// Maximum time for sending the messages with which a front end leaves its fleet.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time after the drain time for the last replies to be written and their connections to be closed.
+/// Additional time, after the drain time, in which the last replies are written and client connections are closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A running gateway.
@@ -109,8 +109,8 @@
         self.fleet.as_ref().map(|(_, address)| *address)
     }
 
-    /// Serves until SIGTERM or SIGINT, then finishes open calls within the drain time and returns the account line. `ready` is
-    /// called once the signals are handled; an earlier signal terminates the process immediately.
+    /// Serves until SIGTERM or SIGINT, then finishes open calls within the drain time and returns [`Gateway::account`].
+    /// `ready` is called once the signals are handled; an earlier signal terminates the process immediately.
     pub fn run(mut self, ready: impl FnOnce(&Gateway)) -> Result<String, GatewayError> {
         let stop_requested = self.watch_signals()?;
         ready(&self);
@@ -130,6 +130,7 @@
         Ok(self.account())
     }
 
+    /// Returns a flag that is set once SIGTERM or SIGINT arrives.
     fn watch_signals(&self) -> Result<Rc<Cell<bool>>, GatewayError> {
         let stop_requested = Rc::new(Cell::new(false));
         let requested = stop_requested.clone();
@@ -155,7 +156,8 @@
         Ok(())
     }
 
-    /// Leaves the fleet once all calls have ended, so that no change of the settings has to wait for this front end.
+    /// Leaves the fleet, so that no change of the settings has to wait for this front end. It is called once the open calls have ended
+    /// or the time for them is over.
     fn leave_fleet(&mut self) -> Result<(), GatewayError> {
         let Some((member, _)) = &self.fleet else {
             return Ok(());
@@ -190,6 +192,7 @@
     }
 }
 
+/// Listens on the address that `setting` gives; a failure names this setting.
 fn bind(
     setting: &'static str,
     address: SocketAddr,
@@ -309,8 +312,8 @@
     }
 }
 
-/// Returns the function that applies a list of workers. In a fleet it goes through the node, which exchanges with its peers
-/// which workers drain.
+/// Returns the function that applies a list of workers. In a fleet the list is passed to the fleet member, which exchanges
+/// with its peers which workers are draining.
 fn apply_workers(driver: Rc<Driver>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
     let worker = |configured: ConfiguredWorker| WorkerEndpoint {
         record: configured.record,
@@ -322,6 +325,7 @@
     })
 }
 
+/// Logs the counters of calls and the number of open calls every [`TOTALS_INTERVAL`].
 async fn log_totals(driver: Rc<Driver>) {
     loop {
         driver.spawner.sleep(TOTALS_INTERVAL).await;
